--- a/include/bayhoist/bucket.h
+++ b/include/bayhoist/bucket.h
@@ -1,15 +1,15 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* A token bucket. */
+/* A token bucket for rate limiting. */
 #ifndef BAYHOIST_BUCKET_H
 #define BAYHOIST_BUCKET_H
 
 #include "bayhoist/types.h"
 
 typedef struct {
-	double rate_per_s;
-	double burst;
-	double level;
-	uint64_t updated_us;
+	double rate_per_s;   /* tokens added per second; 0: none */
+	double burst;        /* maximum level, in tokens */
+	double level;        /* tokens at `updated_us`; negative: debt */
+	uint64_t updated_us; /* time of the last change of `level` */
 } BH__Bucket;
 
 void bh__bucket_init(BH__Bucket *b, double rate_per_s, double burst);
--- a/include/bayhoist/room.h
+++ b/include/bayhoist/room.h
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* How much of its VM's memory a node keeps for others: answers that wait for callers which read slowly, and
- * requests that are read or wait for endpoints. */
+/* Memory budget of a node for buffered data: answers waiting for slow callers, and requests being received or
+ * waiting for endpoints. The budget is a share of the VM's memory. */
 #ifndef BAYHOIST_ROOM_H
 #define BAYHOIST_ROOM_H
 
@@ -8,9 +8,9 @@
 #include "bayhoist/types.h"
 
 typedef struct {
-	uint64_t memory_bytes;  /* of the VM; 0: not known, and nothing is bounded here */
-	uint64_t request_bytes; /* of requests that are kept */
-	uint64_t refusals;      /* of requests for which there was no room */
+	uint64_t memory_bytes;  /* memory of the VM; 0: unknown, no limits are applied */
+	uint64_t request_bytes; /* memory reserved for buffered requests */
+	uint64_t refusals;      /* requests refused because the budget was exhausted */
 } BH__Room;
 
 size_t bh__room_get_answer_max(const BH__Room *r, unsigned connections, size_t max);
--- a/src/libbayhoist/bucket.c
+++ b/src/libbayhoist/bucket.c
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Token buckets: full at first, filled at a rate up to a burst. */
+/* Token buckets. A bucket starts full and is refilled at a constant rate up to its burst size. */
 #include "bayhoist/bucket.h"
 
 #include <glib.h>
@@ -12,7 +12,7 @@
 	b->updated_us = 0;
 }
 
-/* Changes the rate from now on; what has gathered stays, up to the new burst. */
+/* Changes the rate and the burst size. The tokens present are kept, up to the new burst size. */
 void bh__bucket_set_rate(BH__Bucket *b, double rate_per_s, double burst)
 {
 	b->rate_per_s = rate_per_s;
@@ -20,7 +20,7 @@
 	b->level = MIN(b->level, burst);
 }
 
-/* Returns what is there at a time. */
+/* Returns the number of tokens at `now_us`, which is negative for a bucket in debt. */
 double bh__bucket_get_level(const BH__Bucket *b, uint64_t now_us)
 {
 	if (now_us <= b->updated_us)
@@ -28,15 +28,16 @@
 	return MIN(b->burst, b->level + b->rate_per_s * (double)(now_us - b->updated_us) / 1e6);
 }
 
-/* Takes `amount`, whether it is there or not: what is missing becomes a debt. */
+/* Takes `amount` tokens unconditionally. Missing tokens become a debt, which later refills pay off. */
 void bh__bucket_spend(BH__Bucket *b, double amount, uint64_t now_us)
 {
 	b->level = bh__bucket_get_level(b, now_us) - amount;
 	b->updated_us = MAX(now_us, b->updated_us);
 }
 
-/* Takes `amount` if that much is there, or if the bucket is full: an amount above the burst passes then and
- * leaves a debt, so that the rate holds and nothing waits for ever. */
+/* Takes `amount` tokens and returns true if the bucket holds that many or is full; otherwise takes none and
+ * returns false. An amount above the burst size is taken from a full bucket and leaves a debt, so that the
+ * rate is kept and no caller waits forever. */
 bool bh__bucket_take(BH__Bucket *b, double amount, uint64_t now_us)
 {
 	bool passes = bh__bucket_get_level(b, now_us) >= MIN(amount, b->burst);
@@ -45,7 +46,8 @@
 	return passes;
 }
 
-/* Returns the time until `amount` can be taken. */
+/* Returns the time in microseconds, counted from the last update, until `amount` tokens can be taken. Returns
+ * one hour if the bucket is not refilled. */
 uint64_t bh__bucket_get_wait_us(const BH__Bucket *b, double amount)
 {
 	double missing = MIN(amount, b->burst) - b->level;
--- a/src/libbayhoist/room.c
+++ b/src/libbayhoist/room.c
@@ -1,32 +1,34 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Bounds on what a node keeps for others. */
+/* Limits on the memory that a node uses for buffered answers and requests. */
 #include "bayhoist/room.h"
 
 #include <glib.h>
 
-/* Of a VM's memory; a request that is being sent is there twice, and the node's own tables take a third of
- * the smallest VMs. */
+/* Shares of the VM's memory. A request exists twice in memory while it is being sent, and the node's own
+ * tables take a third of the memory of the smallest VMs. */
 #define ANSWERS_SHARE_ 0.2
 #define REQUESTS_SHARE_ 0.15
-#define ANSWER_LEAST_ (8 * 1024) /* that any answer may have: a few events */
+#define ANSWER_MIN_ (8 * 1024) /* bytes that any answer may buffer: enough for a few events */
 
-/* Returns how many bytes of an answer may wait for its caller, `max` at most, where a node has so many
- * connections: all of them together stay within a share of the memory. */
+/* Returns how many bytes one answer may buffer for its caller, at most `max`. The budget for answers is
+ * divided evenly among the node's `connections`, except that every answer gets at least ANSWER_MIN_ bytes.
+ * Returns `max` if the size of the VM's memory is unknown. */
 size_t bh__room_get_answer_max(const BH__Room *r, unsigned connections, size_t max)
 {
 	double share = (double)r->memory_bytes * ANSWERS_SHARE_ / MAX(connections, 1u);
 
 	if (!r->memory_bytes || share >= (double)max)
 		return max;
-	return MAX((size_t)share, (size_t)ANSWER_LEAST_);
+	return MAX((size_t)share, (size_t)ANSWER_MIN_);
 }
 
-/* Keeps so much more of requests. Returns false, and counts that, if there is no room for it. */
+/* Reserves `len` bytes for a request. Returns false and counts a refusal if that would exceed the budget for
+ * requests; always succeeds if the size of the VM's memory is unknown. */
 bool bh__room_take_request(BH__Room *r, size_t len)
 {
-	double room = (double)r->memory_bytes * REQUESTS_SHARE_;
+	double budget = (double)r->memory_bytes * REQUESTS_SHARE_;
 
-	if (r->memory_bytes && (double)(r->request_bytes + len) > room) {
+	if (r->memory_bytes && (double)(r->request_bytes + len) > budget) {
 		r->refusals++;
 		return false;
 	}
@@ -34,7 +36,7 @@
 	return true;
 }
 
-/* So much of requests is not kept any more. */
+/* Returns `len` reserved bytes to the budget. */
 void bh__room_return_request(BH__Room *r, size_t len)
 {
 	r->request_bytes -= MIN(r->request_bytes, len);
