--- a/src/libbayhoist/include/private/planner_internal.h
+++ b/src/libbayhoist/include/private/planner_internal.h
@@ -1,5 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What planner.c, the ledger of what engines were given, and planner_queue.c, the asks that wait, share. */
+/* Shared by planner.c, which keeps the ledger of grants, and planner_queue.c, which keeps the waiting asks.
+ */
 #ifndef BAYHOIST_PRIVATE_PLANNER_INTERNAL_H
 #define BAYHOIST_PRIVATE_PLANNER_INTERNAL_H
 
@@ -14,28 +15,28 @@
 struct BH__Planner {
 	BH__PlannerPort *port;
 	uint64_t pool_id;
-	uint64_t boot_id;
-	uint64_t next_grant;
-	uint64_t order_seed; /* of the order in which engines are filled */
-	double part;         /* of the engines' limits that this planner counts for */
+	uint64_t boot_id;    /* hash of the node's boot id and the pool id, from which grant ids are derived */
+	uint64_t next_grant; /* number of grants given so far */
+	uint64_t order_seed; /* determines the order in which engines are filled */
+	double rate_share;   /* share of the engines' rate limits that this planner enforces */
 	BH__EngineModel model;
-	GPtrArray *engines; /* BH__PassEngine */
-	GHashTable *by_id;  /* the same by endpoint id */
-	GHashTable *placed; /* BH__PlacedRequest by grant id */
-	GHashTable *by_ask; /* the same by ask id */
-	GPtrArray *waiting; /* BH__WaitingAsk, the smallest prompt first */
+	GPtrArray *engines;   /* BH__IterationEngine, sorted by hash of endpoint id and order_seed */
+	GHashTable *by_id;    /* the elements of `engines` by endpoint id */
+	GHashTable *by_grant; /* BH__PlacedRequest by grant id */
+	GHashTable *by_ask;   /* the elements of `by_grant` by ask id */
+	GPtrArray *waiting;   /* BH__WaitingAsk, the smallest prompt first */
 	BH__PlannerCounters counters;
-	double long_work_ms; /* of long prompts lately, on one engine; older ones count less */
-	uint64_t long_work_us;
-	bool pumping;
+	double long_work_ms;   /* recent prefill work of long prompts on one engine, decaying exponentially */
+	uint64_t long_work_us; /* time at which long_work_ms was last updated */
+	bool placing_waiting;  /* bh__planner_place_waiting() is running */
 };
 
 /* planner.c */
-void bh__planner_grant(BH__Planner *p, const BH__Ask *ask, const BH__Placement *place, uint64_t due_us,
-					   uint64_t aim_us, uint64_t now_us);
+void bh__planner_grant(BH__Planner *p, const BH__Ask *ask, const BH__Placement *placement, uint64_t due_us,
+					   uint64_t first_event_target_us, uint64_t now_us);
 
 /* planner_queue.c */
-void bh__planner_pump(BH__Planner *p, uint64_t now_us);
+void bh__planner_place_waiting(BH__Planner *p, uint64_t now_us);
 void bh__planner_drop_asks(BH__Planner *p, uint64_t node_id);
 
 #endif
--- a/src/libbayhoist/placement.c
+++ b/src/libbayhoist/placement.c
@@ -1,97 +1,107 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The choice of engines. What an engine reads lengthens its next pass, and a pass longer than a stream may
- * pause makes that stream late. So each engine has a limit on its next pass, set by the streams that it
- * writes, and a prompt is cut into even parts over so many engines that every part keeps its engine within
- * the limit.
+/* Choice of engines. Prefill work lengthens an engine's next iteration, and an iteration that is longer than
+ * a stream may pause makes that stream late. The streams on an engine therefore set a limit on its next
+ * iteration, and a prompt is split evenly over enough engines that each part keeps its engine within the
+ * limit.
  *
- * Streams that may pause only briefly ("tight" ones) are packed on as few engines as can write them, always
- * the same first; other prompts are read on the rest, where passes may be long. So the two are kept apart
- * without a fixed share for either: the border moves with the load. */
+ * Streams that may pause only briefly ("tight" streams) are packed on as few engines as can generate them,
+ * always starting with the same engines. Other prompts are prefilled on the remaining engines, where
+ * iterations may be long. This separates the two kinds without a fixed share for either: the boundary moves
+ * with the load. */
 #include "placement.h"
 
 #include <stdlib.h>
 #include "bayhoist/planner.h"
 
-/* A prompt of so many tokens more is worth one more; from what the users' kinds of request are worth. */
-#define TOKENS_PER_VALUE_ 12000.0
-#define GAP_MARGIN_MS_ 25.0   /* of a pause, for the network and for what the reckoning misses */
-#define FIRST_MARGIN_MS_ 35.0 /* the same of a first event */
-/* Of a pass on an engine without streams: one may begin there at any time. */
+/* Prompt tokens that add 1 to the utility of an answer, derived from the utilities of the users' kinds of
+ * request. */
+#define TOKENS_PER_UTILITY_ 12000.0
+/* Margins for the network and for prediction errors: of the event gap, and of the time to the first event. */
+#define GAP_MARGIN_MS_ 25.0
+#define FIRST_EVENT_MARGIN_MS_ 35.0
+/* Limit on an iteration of an engine without streams, where a stream may start at any time. */
 #define LOOSE_LIMIT_MS_ ((double)BH__LONGEST_PASS_MS)
-#define TIGHT_GAP_US_ (300 * BH__MS_US) /* streams that may pause no longer are tight */
-#define TIGHT_LIMIT_MS_ 180.0           /* of a pass on an engine that is kept for tight streams */
-#define TIGHT_ROOM_MS_ 40.0             /* of a tight engine's pass that is kept for tight prompts */
-#define TIGHT_STREAMS_ 14               /* that one engine is filled with, more or less */
-#define TIGHT_SPARE_ 3                  /* tight streams for which room is kept beyond those that are there */
-#define TIGHT_PARTS_MAX_ 4              /* of a tight prompt */
-#define PART_MIN_TOKENS_ 1000           /* smaller parts are not worth a helper */
-#define SLOTS_KEPT_ 1      /* of an engine, while others have room: for resumed streams and wrong reckoning */
-#define LATE_SLOTS_ 3      /* of an engine, that requests which are late already leave to others besides */
-#define SOONER_SHARE_ 0.85 /* of the time to read with more parts, at which fewer parts are better */
-/* An answer that has not begun so long after it was foretold to shows that its engine stands still, or is in
- * a longer pass than was reckoned; half of what the users' tightest streams bear between events. */
+#define TIGHT_GAP_US_ (300 * BH__MS_US) /* streams with an event gap up to this are tight */
+#define TIGHT_LIMIT_MS_ 180.0           /* limit on an iteration of an engine reserved for tight streams */
+#define TIGHT_HEADROOM_MS_ 40.0         /* part of such an iteration that is kept free for tight prompts */
+#define TIGHT_STREAMS_PER_ENGINE_ 14    /* approximate number of tight streams on one engine */
+#define SPARE_TIGHT_STREAMS_ 3          /* additional tight streams for which engines are reserved */
+#define TIGHT_PARTS_MAX_ 4              /* maximum number of parts of a tight prompt */
+#define PART_MIN_TOKENS_ 1000           /* smaller parts do not justify a helper */
+/* Slots of an engine that are kept free for resumed streams and prediction errors while others have free
+ * ones, and the additional slots that late requests leave to other requests. */
+#define RESERVED_SLOTS_ 1
+#define LATE_RESERVED_SLOTS_ 3
+/* Fewer parts are preferred if their prefill time is below this share of the time with more parts. */
+#define FEWER_PARTS_TIME_RATIO_ 0.85
+/* An answer that has not started this long after its predicted start shows that its engine is stalled or in a
+ * longer iteration than predicted. This is half of the shortest event gap among the users' streams. */
 #define OVERDUE_US_ (100 * BH__MS_US)
-#define KV_FILL_ 0.94 /* of an engine's memory that is given out */
+#define KV_FILL_ 0.94 /* share of an engine's memory that is granted */
 
 typedef struct {
-	BH__PassEngine *engine;
-	unsigned order;    /* place in the table of engines */
-	unsigned tight;    /* tight streams that it writes or will write */
-	bool limited;      /* in the requests that it may get */
-	bool kept;         /* for tight streams, of which it may have none yet */
-	double limit_ms;   /* of its next pass */
-	double next_ms;    /* its next pass as it stands, or the first that a stream would make */
-	double room_ms;    /* of what waits there, for a part that overtakes it */
-	double pending_ms; /* what is left of its pass, and the next one */
-	double loss;       /* value of streams that a longer pass would make late */
+	BH__IterationEngine *engine;
+	unsigned order;           /* position in the planner's list of engines */
+	unsigned tight;           /* tight streams, running or granted */
+	bool limited;             /* a rate limit is in force */
+	bool reserved;            /* reserved for tight streams, of which it may have none yet */
+	double limit_ms;          /* limit on the next iteration */
+	double next_iteration_ms; /* next iteration without the new prompt; if idle, the first of a new stream */
+	double overtake_headroom_ms; /* longest part that may overtake the waiting prompts, at slowdown 1 */
+	double pending_ms;           /* rest of the running iteration plus the next one */
+	double delay_cost;           /* utility lost if an iteration beyond `limit_ms` makes streams late */
 	unsigned slots_free;
-	unsigned helps_free; /* prompts of others that it may read parts of beside those it does */
+	unsigned helper_slots_free; /* parts for other engines that it may prefill in addition */
 	uint64_t kv_free_tokens;
 } Candidate_;
 
-static bool is_in_(const uint64_t *list, unsigned count, uint64_t endpoint_id);
-static bool is_overdue_(const BH__PassEngine *e, uint64_t now_us);
-static unsigned list_(const BH__EngineModel *m, GPtrArray *engines, const BH__Ask *ask, uint64_t now_us,
-					  Candidate_ *out);
-static void describe_(const BH__EngineModel *m, BH__PassEngine *e, uint64_t now_us, Candidate_ *c);
-static void keep_for_tight_(Candidate_ *c, unsigned count);
-static double joins_later_ms_(const Candidate_ *c, const BH__PlacedRequest *r, uint64_t now_us);
+static bool contains_(const uint64_t *list, unsigned count, uint64_t endpoint_id);
+static bool is_overdue_(const BH__IterationEngine *e, uint64_t now_us);
+static unsigned list_candidates_(const BH__EngineModel *m, GPtrArray *engines, const BH__Ask *ask,
+								 uint64_t now_us, Candidate_ *out);
+static void init_candidate_(const BH__EngineModel *m, BH__IterationEngine *e, uint64_t now_us, Candidate_ *c);
+static void reserve_for_tight_(Candidate_ *c, unsigned count);
+static double first_gap_used_ms_(const Candidate_ *c, const BH__PlacedRequest *r, uint64_t now_us);
 static double gap_limit_ms_(uint64_t event_gap_us);
-static double room_ms_(const Candidate_ *c);
+static double part_headroom_ms_(const Candidate_ *c);
 static int compare_for_tight_(const void *a, const void *b);
 static int compare_for_long_(const void *a, const void *b);
-static int compare_for_force_(const void *a, const void *b);
+static int compare_for_cost_(const void *a, const void *b);
 static bool find_tight_(const BH__EngineModel *m, Candidate_ *c, unsigned count, const BH__Ask *ask,
 						uint64_t now_us, BH__Placement *out);
 static bool find_long_(const BH__EngineModel *m, Candidate_ *c, unsigned count, const BH__Ask *ask,
-					   double idle_read_ms, uint64_t now_us, BH__Placement *out);
+					   double idle_prefill_ms, uint64_t now_us, BH__Placement *out);
 static unsigned choose_parts_(const BH__EngineModel *m, const Candidate_ *c, unsigned count,
 							  const BH__Ask *ask, uint64_t now_us);
-static unsigned most_parts_(const BH__Ask *ask, unsigned count);
-static bool fill_(const BH__EngineModel *m, Candidate_ *c, unsigned count, unsigned parts, const BH__Ask *ask,
-				  uint64_t now_us, BH__Placement *out);
-static bool choose_home_(Candidate_ *c, unsigned count, const BH__Ask *ask, double part_ms);
-static bool may_help_(const Candidate_ *c, unsigned parts);
-static bool share_memory_(const Candidate_ *c, unsigned parts, uint64_t need_tokens, BH__Placement *out);
-static bool is_in_time_(const BH__Ask *ask, const BH__Placement *p, uint64_t now_us);
-
-/* Returns what an answer to a prompt is worth, in a unit of our own. */
-double bh__placement_value(uint64_t prompt_tokens)
+static unsigned max_parts_(const BH__Ask *ask, unsigned count);
+static bool build_placement_(const BH__EngineModel *m, Candidate_ *c, unsigned count, unsigned parts,
+							 const BH__Ask *ask, uint64_t now_us, BH__Placement *out);
+static bool choose_primary_(Candidate_ *c, unsigned count, const BH__Ask *ask, double part_ms);
+static bool helpers_have_slots_(const Candidate_ *c, unsigned parts);
+static bool split_memory_(const Candidate_ *c, unsigned parts, uint64_t need_tokens, BH__Placement *out);
+static bool meets_target_(const BH__Ask *ask, const BH__Placement *p, uint64_t now_us);
+
+/* Returns the utility of an answer in time to a prompt of `prompt_tokens` tokens. The unit is arbitrary; the
+ * utility of an answer to an empty prompt is 1. */
+double bh__placement_utility(uint64_t prompt_tokens)
 {
-	return 1.0 + (double)prompt_tokens / TOKENS_PER_VALUE_;
+	return 1.0 + (double)prompt_tokens / TOKENS_PER_UTILITY_;
 }
 
+/* Returns true if streams with this event gap are tight. A gap of 0 means that none was specified. */
 bool bh__placement_is_tight(uint64_t event_gap_us)
 {
 	return event_gap_us && event_gap_us <= TIGHT_GAP_US_;
 }
 
-bool bh__pass_engine_is_usable(const BH__PassEngine *e, uint64_t now_us)
+/* Returns true if an engine may be granted a request: it is not leaving, not ejected, and within its rate
+ * limits. */
+bool bh__iteration_engine_is_usable(const BH__IterationEngine *e, uint64_t now_us)
 {
-	return !e->leaving && now_us >= e->set_aside_until_us && bh__endpoint_rate_admits(&e->rate, now_us);
+	return !e->leaving && now_us >= e->ejected_until_us && bh__endpoint_rate_admits(&e->rate, now_us);
 }
 
-static bool is_in_(const uint64_t *list, unsigned count, uint64_t endpoint_id)
+static bool contains_(const uint64_t *list, unsigned count, uint64_t endpoint_id)
 {
 	for (unsigned i = 0; i < count; i++)
 		if (list[i] == endpoint_id)
@@ -99,90 +109,94 @@
 	return false;
 }
 
-/* Returns true if an engine wants nothing of the asking node. */
+/* Returns true if an engine has requested a backoff from the asking node. */
 bool bh__ask_backs_off_from(const BH__Ask *ask, uint64_t endpoint_id)
 {
-	return is_in_(ask->backoff, ask->backoff_count, endpoint_id);
+	return contains_(ask->backoff, ask->backoff_count, endpoint_id);
 }
 
-/* Returns true if an answer from this engine should have begun, and none has begun there since. A prompt that
- * helpers read too doesn't count: any of them may be the cause. */
-static bool is_overdue_(const BH__PassEngine *e, uint64_t now_us)
+/* Returns true if an answer from this engine is overdue and no other answer has started there since it was
+ * due. Prompts with helpers do not count, because any of the engines may be the cause. */
+static bool is_overdue_(const BH__IterationEngine *e, uint64_t now_us)
 {
 	for (guint i = 0; i < e->homes->len; i++) {
 		const BH__PlacedRequest *r = g_ptr_array_index(e->homes, i);
 		uint64_t due_us = r->granted_us + r->grant.expected_us;
 		if (!r->grant.writes && r->grant.member_count == 1 && now_us > due_us + OVERDUE_US_ &&
-			e->last_begun_us < due_us)
+			e->last_stream_started_us < due_us)
 			return true;
 	}
 	return false;
 }
 
-/* Lists the engines that may be used, not those that want nothing of the asking node; those that the ask
- * avoids, or where answers are overdue, only if there is no other. */
-static unsigned list_(const BH__EngineModel *m, GPtrArray *engines, const BH__Ask *ask, uint64_t now_us,
-					  Candidate_ *out)
+/* Fills `out` with the usable engines and returns their number. Engines that requested a backoff from the
+ * asking node are left out. Engines that the ask avoids or where answers are overdue are listed only if there
+ * are no others. */
+static unsigned list_candidates_(const BH__EngineModel *m, GPtrArray *engines, const BH__Ask *ask,
+								 uint64_t now_us, Candidate_ *out)
 {
 	unsigned count = 0;
 
 	for (int avoid = 1; avoid >= 0 && !count; avoid--) {
 		for (guint i = 0; i < engines->len; i++) {
-			BH__PassEngine *e = g_ptr_array_index(engines, i);
-			if (!bh__pass_engine_is_usable(e, now_us) || bh__ask_backs_off_from(ask, e->endpoint_id) ||
-				(avoid && (is_in_(ask->avoid, ask->avoid_count, e->endpoint_id) || is_overdue_(e, now_us))))
+			BH__IterationEngine *e = g_ptr_array_index(engines, i);
+			if (!bh__iteration_engine_is_usable(e, now_us) || bh__ask_backs_off_from(ask, e->endpoint_id) ||
+				(avoid &&
+				 (contains_(ask->avoid, ask->avoid_count, e->endpoint_id) || is_overdue_(e, now_us))))
 				continue;
 			bh__pass_clock_advance(&e->clock, m, now_us);
 			out[count].order = i;
-			describe_(m, e, now_us, &out[count++]);
+			init_candidate_(m, e, now_us, &out[count++]);
 		}
 	}
-	keep_for_tight_(out, count);
+	reserve_for_tight_(out, count);
 	return count;
 }
 
-/* Keeps as many engines for tight streams as those of now need, and some to spare, so that the next one finds
- * an engine that is not in the middle of a long pass: those that write some already, and then the first of
- * the table. */
-static void keep_for_tight_(Candidate_ *c, unsigned count)
+/* Reserves engines for tight streams: as many as the current tight streams need plus a spare, so that the
+ * next tight stream finds an engine that is not in the middle of a long iteration. Engines with tight streams
+ * are reserved first, then the first ones in the list. */
+static void reserve_for_tight_(Candidate_ *c, unsigned count)
 {
 	unsigned streams = 0;
 	unsigned wanted;
 
 	for (unsigned i = 0; i < count; i++) {
 		streams += c[i].tight;
-		c[i].kept = c[i].tight > 0;
+		c[i].reserved = c[i].tight > 0;
 	}
-	wanted = MIN((streams + TIGHT_SPARE_ + TIGHT_STREAMS_ - 1) / TIGHT_STREAMS_, count / 2);
+	wanted = MIN((streams + SPARE_TIGHT_STREAMS_ + TIGHT_STREAMS_PER_ENGINE_ - 1) / TIGHT_STREAMS_PER_ENGINE_,
+				 count / 2);
 	for (unsigned i = 0; i < count; i++)
-		wanted -= c[i].kept && wanted > 0;
+		wanted -= c[i].reserved && wanted > 0;
 	for (unsigned i = 0; i < count && wanted > 0; i++) {
-		if (c[i].kept)
+		if (c[i].reserved)
 			continue;
-		c[i].kept = true;
+		c[i].reserved = true;
 		wanted--;
 	}
 	for (unsigned i = 0; i < count; i++)
-		if (c[i].kept)
+		if (c[i].reserved)
 			c[i].limit_ms = MIN(c[i].limit_ms, (double)TIGHT_LIMIT_MS_);
 }
 
-/* Describes an engine. What one that writes no stream has to read may all
- * be left when its next stream begins, and come in one pass. */
-static void describe_(const BH__EngineModel *m, BH__PassEngine *e, uint64_t now_us, Candidate_ *c)
+/* Initializes a candidate from the state of an engine. For an engine without streams, all of the waiting
+ * prefill counts towards its next iteration, because all of it may still be left when the next stream starts.
+ */
+static void init_candidate_(const BH__EngineModel *m, BH__IterationEngine *e, uint64_t now_us, Candidate_ *c)
 {
 	uint64_t capacity = (uint64_t)((double)m->kv_tokens * KV_FILL_);
 
 	c->engine = e;
 	c->tight = 0;
-	c->kept = false;
-	c->loss = 0;
+	c->reserved = false;
+	c->delay_cost = 0;
 	c->limit_ms = LOOSE_LIMIT_MS_;
-	c->next_ms = bh__pass_clock_next_pass_ms(&e->clock, m, 0);
-	c->pending_ms = c->next_ms + bh__pass_clock_get_pass_left_ms(&e->clock, now_us);
-	c->room_ms = bh__pass_clock_get_room_ms(&e->clock, m, now_us);
+	c->next_iteration_ms = bh__pass_clock_next_pass_ms(&e->clock, m, 0);
+	c->pending_ms = c->next_iteration_ms + bh__pass_clock_get_pass_left_ms(&e->clock, now_us);
+	c->overtake_headroom_ms = bh__pass_clock_get_room_ms(&e->clock, m, now_us);
 	c->slots_free = e->homes->len < m->slots ? m->slots - e->homes->len : 0;
-	c->helps_free = e->helps < m->slots ? m->slots - e->helps : 0;
+	c->helper_slots_free = e->helper_parts < m->slots ? m->slots - e->helper_parts : 0;
 	c->limited = bh__endpoint_rate_is_limited(&e->rate, now_us);
 	c->kv_free_tokens = capacity > e->kv_used_tokens ? capacity - e->kv_used_tokens : 0;
 	for (guint i = 0; i < e->homes->len; i++) {
@@ -190,64 +204,68 @@
 		double limit_ms = gap_limit_ms_(r->event_gap_us);
 		if (limit_ms <= 0)
 			continue;
-		limit_ms -= joins_later_ms_(c, r, now_us);
+		limit_ms -= first_gap_used_ms_(c, r, now_us);
 		c->tight += bh__placement_is_tight(r->event_gap_us);
 		c->limit_ms = MIN(c->limit_ms, limit_ms);
-		if (c->next_ms <= limit_ms)
-			c->loss += r->value * BH__LATE_LOSS;
+		if (c->next_iteration_ms <= limit_ms)
+			c->delay_cost += r->answer_utility * BH__LATE_UTILITY_LOSS;
 	}
 }
 
-/* Returns how much of a stream's first pause is over before the engine's next pass begins, or not to be
- * reckoned with. The answer to a prompt that several engines read begins when the last of them is done, in
- * the middle of a pass of the engine that answers; it is written from the next pass on, so that its first
- * pause is the rest of the one and the whole of the other. */
-static double joins_later_ms_(const Candidate_ *c, const BH__PlacedRequest *r, uint64_t now_us)
+/* Returns how much of a stream's first pause falls before the next iteration of its primary engine, in
+ * milliseconds. The answer to a prompt that several engines prefill starts when the last of them is done, in
+ * the middle of an iteration of the primary engine. The answer is generated from the next iteration on, so
+ * its first pause is the rest of the running iteration plus the whole next one. Returns 0 for all other
+ * streams. */
+static double first_gap_used_ms_(const Candidate_ *c, const BH__PlacedRequest *r, uint64_t now_us)
 {
-	const BH__PassClock *k = &c->engine->clock;
-	double left_ms = bh__pass_clock_get_pass_left_ms(k, now_us);
+	const BH__PassClock *clock = &c->engine->clock;
+	double left_ms = bh__pass_clock_get_pass_left_ms(clock, now_us);
 
-	if (r->grant.member_count < 2 || !k->streams)
+	if (r->grant.member_count < 2 || !clock->streams)
 		return 0;
 	if (!r->grant.writes)
 		return left_ms;
-	if (!r->begun_us || r->begun_us < k->pass_begun_us)
+	if (!r->stream_started_us || r->stream_started_us < clock->pass_begun_us)
 		return 0;
-	return left_ms + (double)(now_us - r->begun_us) / 1000;
+	return left_ms + (double)(now_us - r->stream_started_us) / 1000;
 }
 
-/* Returns the longest pass that a stream with such a gap bears, in ms; 0: any. */
+/* Returns the longest iteration, in milliseconds, that does not make a stream with this event gap late; 0:
+ * any. */
 static double gap_limit_ms_(uint64_t event_gap_us)
 {
 	return event_gap_us ? (double)event_gap_us / 1000 - GAP_MARGIN_MS_ : 0;
 }
 
-/* Returns how long a part an engine bears, in ms at pace 1: one that writes streams makes its next pass
- * longer, one that writes none delays what waits there. */
-static double room_ms_(const Candidate_ *c)
+/* Returns the longest part that fits on an engine, in milliseconds of prefill at slowdown 1. On an engine
+ * with streams or reserved for them the part lengthens the next iteration; on other engines it delays the
+ * prompts that wait there. */
+static double part_headroom_ms_(const Candidate_ *c)
 {
-	double pass_ms = c->engine->clock.streams || c->kept ? c->next_ms : 0;
+	double iteration_ms = c->engine->clock.streams || c->reserved ? c->next_iteration_ms : 0;
 
-	return MIN(c->room_ms, (c->limit_ms - pass_ms) / c->engine->clock.pace);
+	return MIN(c->overtake_headroom_ms, (c->limit_ms - iteration_ms) / c->engine->clock.pace);
 }
 
-/* Finds engines that can take the request without making any stream late. One that answers nothing may read
- * for `idle_read_ms`, if that is longer than it may otherwise. Returns false if there are none now. */
-bool bh__placement_find(const BH__EngineModel *m, GPtrArray *engines, const BH__Ask *ask, double idle_read_ms,
-						uint64_t now_us, BH__Placement *out)
+/* Finds a placement that makes no stream late. An engine that generates no answer may prefill for
+ * `idle_prefill_ms` milliseconds if that is longer than its normal limit. Returns false if there is no such
+ * placement now. */
+bool bh__placement_find(const BH__EngineModel *m, GPtrArray *engines, const BH__Ask *ask,
+						double idle_prefill_ms, uint64_t now_us, BH__Placement *out)
 {
 	Candidate_ *c = g_new(Candidate_, engines->len + 1);
-	unsigned count = list_(m, engines, ask, now_us, c);
+	unsigned count = list_candidates_(m, engines, ask, now_us, c);
 	bool found = bh__placement_is_tight(ask->event_gap_us)
 					 ? find_tight_(m, c, count, ask, now_us, out)
-					 : find_long_(m, c, count, ask, idle_read_ms, now_us, out);
+					 : find_long_(m, c, count, ask, idle_prefill_ms, now_us, out);
 
 	g_free(c);
 	return found;
 }
 
-/* Engines that write tight streams already come first, and among them the first of the table, so that the
- * same ones fill up; then those that are least busy with long prompts. */
+/* Orders engines with tight streams first, in the order of the list, so that the same engines fill up; then
+ * reserved engines; then the others by the length of their next iteration. */
 static int compare_for_tight_(const void *a, const void *b)
 {
 	const Candidate_ *x = a;
@@ -255,95 +273,102 @@
 
 	if ((x->tight > 0) != (y->tight > 0))
 		return x->tight > 0 ? -1 : 1;
-	if (x->kept != y->kept)
-		return x->kept ? -1 : 1;
-	if (!x->tight && x->next_ms != y->next_ms)
-		return x->next_ms < y->next_ms ? -1 : 1;
+	if (x->reserved != y->reserved)
+		return x->reserved ? -1 : 1;
+	if (!x->tight && x->next_iteration_ms != y->next_iteration_ms)
+		return x->next_iteration_ms < y->next_iteration_ms ? -1 : 1;
 	return x->order < y->order ? -1 : 1;
 }
 
-/* A tight prompt goes to one engine if that stays within its limit, else to a few. */
+/* Places a tight prompt on one engine if that engine stays within its limit, otherwise on at most
+ * TIGHT_PARTS_MAX_ engines. */
 static bool find_tight_(const BH__EngineModel *m, Candidate_ *c, unsigned count, const BH__Ask *ask,
 						uint64_t now_us, BH__Placement *out)
 {
 	double own_limit_ms = gap_limit_ms_(ask->event_gap_us);
 
 	qsort(c, count, sizeof *c, compare_for_tight_);
-	for (unsigned parts = 1; parts <= MIN(most_parts_(ask, count), TIGHT_PARTS_MAX_); parts++) {
+	for (unsigned parts = 1; parts <= MIN(max_parts_(ask, count), TIGHT_PARTS_MAX_); parts++) {
 		double part_ms = bh__engine_model_read_ms(m, ask->prompt_tokens, parts);
 		Candidate_ chosen[TIGHT_PARTS_MAX_];
 		unsigned n = 0;
 		for (unsigned i = 0; i < count && n < parts; i++) {
 			double limit_ms = MIN(c[i].limit_ms, own_limit_ms);
-			bool fits =
-				c[i].next_ms + part_ms * c[i].engine->clock.pace <= limit_ms && part_ms <= c[i].room_ms;
-			bool has_slot = n > 0 ? c[i].helps_free > 0
-								  : c[i].slots_free > SLOTS_KEPT_ + (ask->first_event_us ? 0 : LATE_SLOTS_);
+			bool fits = c[i].next_iteration_ms + part_ms * c[i].engine->clock.pace <= limit_ms &&
+						part_ms <= c[i].overtake_headroom_ms;
+			bool has_slot =
+				n > 0 ? c[i].helper_slots_free > 0
+					  : c[i].slots_free > RESERVED_SLOTS_ + (ask->first_event_us ? 0 : LATE_RESERVED_SLOTS_);
 			if (fits && has_slot)
 				chosen[n++] = c[i];
 		}
-		if (n == parts && fill_(m, chosen, n, parts, ask, now_us, out) && is_in_time_(ask, out, now_us))
+		if (n == parts && build_placement_(m, chosen, n, parts, ask, now_us, out) &&
+			meets_target_(ask, out, now_us))
 			return true;
 	}
 	return false;
 }
 
-/* Engines that may help come first, of those the ones that are not kept for tight streams, and of those the
- * ones with the most room. */
+/* Orders engines with free helper slots first, then engines that are not reserved for tight streams, then by
+ * decreasing headroom. */
 static int compare_for_long_(const void *a, const void *b)
 {
 	const Candidate_ *x = a;
 	const Candidate_ *y = b;
-	double p = room_ms_(x);
-	double q = room_ms_(y);
+	double p = part_headroom_ms_(x);
+	double q = part_headroom_ms_(y);
 
-	if ((x->helps_free > 0) != (y->helps_free > 0))
-		return x->helps_free > 0 ? -1 : 1;
-	if (x->kept != y->kept)
-		return x->kept ? 1 : -1;
+	if ((x->helper_slots_free > 0) != (y->helper_slots_free > 0))
+		return x->helper_slots_free > 0 ? -1 : 1;
+	if (x->reserved != y->reserved)
+		return x->reserved ? 1 : -1;
 	return p > q ? -1 : p < q ? 1 : 0;
 }
 
+/* Places a prompt that is not tight. Engines that are not reserved for tight streams are tried first; then
+ * all engines, where reserved engines keep TIGHT_HEADROOM_MS_ for tight prompts. See bh__placement_find() for
+ * `idle_prefill_ms`. */
 static bool find_long_(const BH__EngineModel *m, Candidate_ *c, unsigned count, const BH__Ask *ask,
-					   double idle_read_ms, uint64_t now_us, BH__Placement *out)
+					   double idle_prefill_ms, uint64_t now_us, BH__Placement *out)
 {
 	unsigned loose = 0;
 	unsigned parts;
 
 	qsort(c, count, sizeof *c, compare_for_long_);
-	while (loose < count && !c[loose].kept)
+	while (loose < count && !c[loose].reserved)
 		loose++;
-	if (idle_read_ms > 0)
+	if (idle_prefill_ms > 0)
 		for (unsigned i = 0; i < loose; i++)
 			if (!c[i].engine->homes->len)
-				c[i].limit_ms = MAX(c[i].limit_ms, idle_read_ms);
+				c[i].limit_ms = MAX(c[i].limit_ms, idle_prefill_ms);
 	for (unsigned i = loose; i < count; i++)
-		c[i].limit_ms -= TIGHT_ROOM_MS_;
+		c[i].limit_ms -= TIGHT_HEADROOM_MS_;
 	parts = choose_parts_(m, c, loose, ask, now_us);
-	if (parts && fill_(m, c, loose, parts, ask, now_us, out))
+	if (parts && build_placement_(m, c, loose, parts, ask, now_us, out))
 		return true;
 	qsort(c, count, sizeof *c, compare_for_long_);
 	parts = choose_parts_(m, c, count, ask, now_us);
-	return parts && fill_(m, c, count, parts, ask, now_us, out);
+	return parts && build_placement_(m, c, count, parts, ask, now_us, out);
 }
 
-/* Returns the number of parts, each of which fits the room of its engine, with which the prompt is read
- * soonest; of those that differ little the largest, since it keeps passes short. 0: there is none. The
- * candidates are in the order of their room, in which slow engines come last. */
+/* Returns the number of parts with which the prompt is prefilled soonest while each part fits the headroom of
+ * its engine, or 0 if no number of parts fits. Of numbers with similar times the largest is chosen, because
+ * it keeps iterations short. The candidates are sorted by decreasing headroom, which puts slow engines last.
+ */
 static unsigned choose_parts_(const BH__EngineModel *m, const Candidate_ *c, unsigned count,
 							  const BH__Ask *ask, uint64_t now_us)
 {
 	unsigned best = 0;
 	uint64_t best_us = 0;
 
-	for (unsigned parts = most_parts_(ask, count); parts > 0; parts--) {
+	for (unsigned parts = max_parts_(ask, count); parts > 0; parts--) {
 		double part_ms = bh__engine_model_read_ms(m, ask->prompt_tokens, parts);
 		uint64_t end_us = 0;
-		if (part_ms > room_ms_(&c[parts - 1]) || (parts > 1 && !c[parts - 1].helps_free))
+		if (part_ms > part_headroom_ms_(&c[parts - 1]) || (parts > 1 && !c[parts - 1].helper_slots_free))
 			continue;
 		for (unsigned i = 0; i < parts; i++)
 			end_us = MAX(end_us, bh__pass_clock_predict_read(&c[i].engine->clock, m, part_ms, i > 0, now_us));
-		if (!best || (double)(end_us - now_us) < (double)(best_us - now_us) * SOONER_SHARE_) {
+		if (!best || (double)(end_us - now_us) < (double)(best_us - now_us) * FEWER_PARTS_TIME_RATIO_) {
 			best = parts;
 			best_us = end_us;
 		}
@@ -351,44 +376,46 @@
 	return best;
 }
 
-static unsigned most_parts_(const BH__Ask *ask, unsigned count)
+/* Returns the largest number of parts into which a prompt may be split on `count` engines. */
+static unsigned max_parts_(const BH__Ask *ask, unsigned count)
 {
-	uint64_t most = MAX(ask->prompt_tokens / PART_MIN_TOKENS_, 1);
+	uint64_t max_parts = MAX(ask->prompt_tokens / PART_MIN_TOKENS_, 1);
 
-	return (unsigned)MIN(MIN(most, count), BH__GRANT_MEMBERS_MAX);
+	return (unsigned)MIN(MIN(max_parts, count), BH__GRANT_MEMBERS_MAX);
 }
 
-/* Those whose streams are worth least come first, and of those the soonest. */
-static int compare_for_force_(const void *a, const void *b)
+/* Orders engines with free helper slots first, then by the delay cost of their streams, then by the length of
+ * their next iteration. */
+static int compare_for_cost_(const void *a, const void *b)
 {
 	const Candidate_ *x = a;
 	const Candidate_ *y = b;
 
-	if ((x->helps_free > 0) != (y->helps_free > 0))
-		return x->helps_free > 0 ? -1 : 1;
-	if (x->loss != y->loss)
-		return x->loss < y->loss ? -1 : 1;
-	return x->next_ms < y->next_ms ? -1 : x->next_ms > y->next_ms;
+	if ((x->helper_slots_free > 0) != (y->helper_slots_free > 0))
+		return x->helper_slots_free > 0 ? -1 : 1;
+	if (x->delay_cost != y->delay_cost)
+		return x->delay_cost < y->delay_cost ? -1 : 1;
+	return x->next_iteration_ms < y->next_iteration_ms ? -1 : x->next_iteration_ms > y->next_iteration_ms;
 }
 
-/* Finds the engines where the request does the least damage. Returns false if none can take it at all. */
-bool bh__placement_force(const BH__EngineModel *m, GPtrArray *engines, const BH__Ask *ask, uint64_t now_us,
-						 BH__Placement *out)
+/* Finds the placement with the lowest delay cost. Returns false if no engines can accept the request. */
+bool bh__placement_find_min_cost(const BH__EngineModel *m, GPtrArray *engines, const BH__Ask *ask,
+								 uint64_t now_us, BH__Placement *out)
 {
 	Candidate_ *c = g_new(Candidate_, engines->len + 1);
-	unsigned count = list_(m, engines, ask, now_us, c);
-	unsigned most = bh__placement_is_tight(ask->event_gap_us) ? 1 : most_parts_(ask, count);
+	unsigned count = list_candidates_(m, engines, ask, now_us, c);
+	unsigned max_parts = bh__placement_is_tight(ask->event_gap_us) ? 1 : max_parts_(ask, count);
 	bool found = false;
 
-	qsort(c, count, sizeof *c, compare_for_force_);
-	for (unsigned parts = 1; parts <= most && count; parts++) {
+	qsort(c, count, sizeof *c, compare_for_cost_);
+	for (unsigned parts = 1; parts <= max_parts && count; parts++) {
 		BH__Placement p;
-		if (!fill_(m, c, count, parts, ask, now_us, &p))
+		if (!build_placement_(m, c, count, parts, ask, now_us, &p))
 			continue;
-		if (!found || p.damage < out->damage ||
-			(p.damage <= out->damage && p.read_end_us < out->read_end_us) ||
-			(!is_in_time_(ask, out, now_us) && is_in_time_(ask, &p, now_us) &&
-			 p.damage < bh__placement_value(ask->prompt_tokens) * BH__LATE_LOSS))
+		if (!found || p.delay_cost < out->delay_cost ||
+			(p.delay_cost <= out->delay_cost && p.prefill_end_us < out->prefill_end_us) ||
+			(!meets_target_(ask, out, now_us) && meets_target_(ask, &p, now_us) &&
+			 p.delay_cost < bh__placement_utility(ask->prompt_tokens) * BH__LATE_UTILITY_LOSS))
 			*out = p;
 		found = true;
 	}
@@ -396,82 +423,89 @@
 	return found;
 }
 
-static bool is_in_time_(const BH__Ask *ask, const BH__Placement *p, uint64_t now_us)
+/* Returns true if the prompt is prefilled early enough for the first-event target, with a margin. Late
+ * requests have no target. */
+static bool meets_target_(const BH__Ask *ask, const BH__Placement *p, uint64_t now_us)
 {
-	return !ask->first_event_us ||
-		   (double)(p->read_end_us - now_us) / 1000 + FIRST_MARGIN_MS_ <= (double)ask->first_event_us / 1000;
+	return !ask->first_event_us || (double)(p->prefill_end_us - now_us) / 1000 + FIRST_EVENT_MARGIN_MS_ <=
+									   (double)ask->first_event_us / 1000;
 }
 
-/* Fills in a placement on the first `parts` candidates; the one that answers may be any of them, or, if none
- * can, one further on. Returns false if no engine has a free slot, or the memory is not there. */
-static bool fill_(const BH__EngineModel *m, Candidate_ *c, unsigned count, unsigned parts, const BH__Ask *ask,
-				  uint64_t now_us, BH__Placement *out)
+/* Builds a placement on the first `parts` candidates. The primary engine may be any candidate, also one
+ * behind these. Returns false if no engine has a free slot, a helper has no free helper slot, or the memory
+ * does not suffice. */
+static bool build_placement_(const BH__EngineModel *m, Candidate_ *c, unsigned count, unsigned parts,
+							 const BH__Ask *ask, uint64_t now_us, BH__Placement *out)
 {
 	uint64_t need_tokens = ask->prompt_tokens + ask->max_tokens;
 	double part_ms = bh__engine_model_read_ms(m, ask->prompt_tokens, parts);
 
-	if (!choose_home_(c, count, ask, part_ms) || !may_help_(c, parts) ||
-		!share_memory_(c, parts, need_tokens, out))
+	if (!choose_primary_(c, count, ask, part_ms) || !helpers_have_slots_(c, parts) ||
+		!split_memory_(c, parts, need_tokens, out))
 		return false;
 	out->count = parts;
-	out->read_end_us = 0;
-	out->damage = 0;
+	out->prefill_end_us = 0;
+	out->delay_cost = 0;
 	for (unsigned i = 0; i < parts; i++) {
 		uint64_t end_us = bh__pass_clock_predict_read(&c[i].engine->clock, m, part_ms, i > 0, now_us);
 		out->engine[i] = c[i].engine;
-		out->read_end_us = MAX(out->read_end_us, end_us);
-		if (c[i].next_ms + part_ms * c[i].engine->clock.pace > c[i].limit_ms)
-			out->damage += c[i].loss;
-		out->damage += BH__LATE_LOSS * bh__pass_clock_get_damage(&c[i].engine->clock, part_ms, now_us);
+		out->prefill_end_us = MAX(out->prefill_end_us, end_us);
+		if (c[i].next_iteration_ms + part_ms * c[i].engine->clock.pace > c[i].limit_ms)
+			out->delay_cost += c[i].delay_cost;
+		out->delay_cost +=
+			BH__LATE_UTILITY_LOSS * bh__pass_clock_get_damage(&c[i].engine->clock, part_ms, now_us);
 	}
 	return true;
 }
 
-/* Returns true if all but the first of `parts` engines may read for one more prompt of another: an engine
- * refuses to help more than it has slots. */
-static bool may_help_(const Candidate_ *c, unsigned parts)
+/* Returns true if all of the first `parts` engines except the primary have a free helper slot. An engine
+ * refuses more helper parts than it has slots. */
+static bool helpers_have_slots_(const Candidate_ *c, unsigned parts)
 {
 	for (unsigned i = 1; i < parts; i++)
-		if (!c[i].helps_free)
+		if (!c[i].helper_slots_free)
 			return false;
 	return true;
 }
 
-/* Puts the engine that is to answer first. It must have a free slot. Best is one with the memory for the
- * whole, and with so little to read that the stream does not pause for it once it has begun; the earlier
- * candidate counts more. Returns false if no engine has a free slot. */
-static bool choose_home_(Candidate_ *c, unsigned count, const BH__Ask *ask, double part_ms)
+/* Chooses the primary engine and moves it to the front. It must have a free slot. An engine with enough
+ * memory for the whole request is preferred, then one whose waiting prefill is so short that the new stream
+ * does not pause after its first event. Among engines without enough memory the one with the most free memory
+ * is preferred; otherwise the earlier candidate is. Returns false if no engine has a free slot. */
+static bool choose_primary_(Candidate_ *c, unsigned count, const BH__Ask *ask, double part_ms)
 {
 	uint64_t need_tokens = ask->prompt_tokens + ask->max_tokens;
 	double limit_ms = gap_limit_ms_(ask->event_gap_us);
 	unsigned best = count;
 	unsigned best_score = 0;
-	Candidate_ home;
+	Candidate_ primary;
 
 	for (unsigned i = 0; i < count; i++) {
-		bool holds = c[i].kv_free_tokens >= need_tokens;
-		bool flows = limit_ms <= 0 || c[i].pending_ms + part_ms * c[i].engine->clock.pace <= limit_ms;
-		unsigned score = (holds ? 2 : 0) + (flows ? 1 : 0);
+		bool has_memory = c[i].kv_free_tokens >= need_tokens;
+		bool starts_without_pause =
+			limit_ms <= 0 || c[i].pending_ms + part_ms * c[i].engine->clock.pace <= limit_ms;
+		unsigned score = (has_memory ? 2 : 0) + (starts_without_pause ? 1 : 0);
 		if (!c[i].slots_free)
 			continue;
 		if (best == count || score > best_score ||
-			(!holds && score == best_score && c[i].kv_free_tokens > c[best].kv_free_tokens)) {
+			(!has_memory && score == best_score && c[i].kv_free_tokens > c[best].kv_free_tokens)) {
 			best = i;
 			best_score = score;
 		}
 	}
 	if (best == count)
 		return false;
-	home = c[best];
-	for (unsigned i = best; i > 0; i--) /* those before it move up, and may fall out of the first ones */
+	primary = c[best];
+	/* The candidates before it move back, and the last of the first `parts` may drop out of these. */
+	for (unsigned i = best; i > 0; i--)
 		c[i] = c[i - 1];
-	c[0] = home;
+	c[0] = primary;
 	return true;
 }
 
-/* Spreads the memory: the first engine takes what it can, the helpers with the most room the rest. Returns
- * false if it does not fit. */
-static bool share_memory_(const Candidate_ *c, unsigned parts, uint64_t need_tokens, BH__Placement *out)
+/* Distributes the memory of a request: the primary engine holds as much as it can, the helpers with the most
+ * free memory hold the rest, except rate-limited ones. Returns false if the memory does not suffice. */
+static bool split_memory_(const Candidate_ *c, unsigned parts, uint64_t need_tokens, BH__Placement *out)
 {
 	uint64_t left = need_tokens;
 
