--- a/include/bayhoist/planner.h
+++ b/include/bayhoist/planner.h
@@ -14,7 +14,7 @@
 #include "bayhoist/message.h"
 
 /* Maximum prefill time in one iteration of an engine, during which all of the engine's streams pause. */
-#define BH__LONGEST_PASS_MS 1300
+#define BH__MAX_ITERATION_MS 1300
 
 typedef struct BH__Planner BH__Planner;
 
@@ -27,7 +27,7 @@
 	/* The node that held the grant is gone, and the grant's memory on the helpers has to be freed. */
 	void (*abandoned)(struct BH__PlannerPort *port, const BH__Grant *grant);
 	/* An engine may be slower than its model. The receiver requests the engine's report and passes the
-	 * slowdown factor in it to bh__planner_process_pace(). */
+	 * slowdown factor in it to bh__planner_process_slowdown(). */
 	void (*inspect)(struct BH__PlannerPort *port, uint64_t endpoint_id);
 } BH__PlannerPort;
 
@@ -42,12 +42,12 @@
 /* The planner's view of one engine. */
 typedef struct {
 	uint64_t endpoint_id;
-	unsigned homes;          /* requests whose answers the engine generates */
+	unsigned primaries;      /* requests whose answers the engine generates */
 	unsigned streams;        /* answers that have started */
 	unsigned helps;          /* prompt parts that the engine prefills for other engines */
 	uint64_t kv_used_tokens; /* memory granted on the engine, in tokens */
-	double unread_ms;        /* remaining prefill time at slowdown 1 */
-	double pace;             /* slowdown factor against the model; 1: as fast as the model */
+	double prefill_left_ms;  /* remaining prefill time at slowdown 1 */
+	double slowdown;         /* slowdown factor against the model; 1: as fast as the model */
 	bool usable;             /* not leaving */
 } BH__PlannerEngine;
 
@@ -55,27 +55,27 @@
 void bh__planner_delete(BH__Planner *p);
 uint64_t bh__planner_get_id(const BH__Planner *p);
 void bh__planner_set_model(BH__Planner *p, const BH__EngineModel *model);
-void bh__planner_set_alone(BH__Planner *p, bool is_local);
+void bh__planner_set_local(BH__Planner *p, bool is_local);
 void bh__planner_set_endpoint(BH__Planner *p, uint64_t endpoint_id, uint64_t incarnation, bool leaving,
 							  uint64_t now_us);
 void bh__planner_set_limits(BH__Planner *p, uint64_t endpoint_id, const BH__Limit *limit, uint64_t now_us);
-void bh__planner_set_part(BH__Planner *p, double rate_share, uint64_t now_us);
+void bh__planner_set_rate_share(BH__Planner *p, double rate_share, uint64_t now_us);
 void bh__planner_remove_endpoint(BH__Planner *p, uint64_t endpoint_id, uint64_t now_us);
 void bh__planner_process_ask(BH__Planner *p, const BH__Ask *ask, uint64_t now_us);
 void bh__planner_process_withdraw(BH__Planner *p, uint64_t ask_id);
-void bh__planner_process_note(BH__Planner *p, const BH__Grant *grant, uint64_t now_us);
+void bh__planner_process_remote_grant(BH__Planner *p, const BH__Grant *grant, uint64_t now_us);
 void bh__planner_process_progress(BH__Planner *p, uint64_t grant_id, uint64_t now_us);
-void bh__planner_process_pass(BH__Planner *p, uint64_t grant_id, uint64_t iteration_us, uint64_t now_us);
+void bh__planner_process_iteration(BH__Planner *p, uint64_t grant_id, uint64_t iteration_us, uint64_t now_us);
 void bh__planner_process_release(BH__Planner *p, uint64_t grant_id, BH__ReleaseKind kind,
 								 uint64_t failed_endpoint, uint64_t now_us);
 void bh__planner_process_backoff(BH__Planner *p, uint64_t endpoint_id, uint64_t backoff_us, uint64_t now_us);
 void bh__planner_process_hold(BH__Planner *p, uint64_t node_id, uint64_t boot_id, bool full,
 							  const BH__Grant *grant, uint32_t count, uint64_t now_us);
 void bh__planner_list_grants(const BH__Planner *p, GArray *out, uint64_t now_us);
-void bh__planner_process_pace(BH__Planner *p, uint64_t endpoint_id, double pace, uint64_t now_us);
+void bh__planner_process_slowdown(BH__Planner *p, uint64_t endpoint_id, double slowdown, uint64_t now_us);
 void bh__planner_process_node_gone(BH__Planner *p, uint64_t node_id, uint64_t now_us);
 void bh__planner_process_tick(BH__Planner *p, uint64_t now_us);
-void bh__planner_keep_only(BH__Planner *p, uint64_t node_id, uint64_t now_us);
+void bh__planner_drop_other_nodes(BH__Planner *p, uint64_t node_id, uint64_t now_us);
 void bh__planner_refuse_all(BH__Planner *p, BH__Reason reason);
 bool bh__planner_is_waiting(const BH__Planner *p);
 unsigned bh__planner_get_engine_count(const BH__Planner *p);
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -19,7 +19,7 @@
 #include "bayhoist/members.h"
 #include "bayhoist/planner.h"
 #include "bayhoist/registry.h"
-#include "bayhoist/room.h"
+#include "bayhoist/memory_budget.h"
 #include "bayhoist/routing.h"
 #include "peers.h"
 #include "port.h"
@@ -85,7 +85,7 @@
 	GHashTable *calls;           /* set of live Call */
 	GHashTable *unknown_headers; /* uint64_t, how often an endpoint's answer had one, by its name */
 	GHashTable *inbounds;        /* set of open Inbound */
-	BH__Room room;               /* of the memory that is kept for callers and endpoints */
+	BH__MemoryBudget room;       /* of the memory that is kept for callers and endpoints */
 	struct evconnlistener *listener;
 	struct evhttp *web[3]; /* directory, readiness, control */
 	GPtrArray *own_events;
--- a/src/bayhoist-gate/planner_port.c
+++ b/src/bayhoist-gate/planner_port.c
@@ -10,7 +10,7 @@
 static void on_queued_(BH__PlannerPort *port, const BH__Ask *ask);
 static void on_abandoned_(BH__PlannerPort *port, const BH__Grant *g);
 static void on_inspect_(BH__PlannerPort *port, uint64_t endpoint_id);
-static void on_pace_(void *inspection, double pace);
+static void on_pace_(void *inspection, double slowdown);
 
 /* Fills in what a planner calls. */
 void schedulers_set_port(BH__PlannerPort *port)
@@ -88,15 +88,15 @@
 	g->port->report(g, &to, on_pace_, i);
 }
 
-static void on_pace_(void *inspection, double pace)
+static void on_pace_(void *inspection, double slowdown)
 {
 	Inspection *i = inspection;
 	Service *s = schedulers_find(i->cluster, i->pool_id);
 
-	if (s && pace > 0) {
-		if (pace > 1)
-			log_event("engine", "endpoint=%016" G_GINT64_MODIFIER "x pace=%.2f", i->endpoint_id, pace);
-		bh__planner_process_pace(s->planner, i->endpoint_id, pace, clock_now_us());
+	if (s && slowdown > 0) {
+		if (slowdown > 1)
+			log_event("engine", "endpoint=%016" G_GINT64_MODIFIER "x pace=%.2f", i->endpoint_id, slowdown);
+		bh__planner_process_slowdown(s->planner, i->endpoint_id, slowdown, clock_now_us());
 	}
 	g_free(i);
 }
--- a/src/bayhoist-gate/port.h
+++ b/src/bayhoist-gate/port.h
@@ -119,7 +119,7 @@
 					void (*done)(void *ctx, bool held), void *ctx);
 	void (*free_memory)(Gate *g, const EndpointRef *to, const char *memory_id);
 	/* Asks an engine for its report. `done` is called once, with its pace, or 0 if there was no answer. */
-	void (*report)(Gate *g, const EndpointRef *to, void (*done)(void *ctx, double pace), void *ctx);
+	void (*report)(Gate *g, const EndpointRef *to, void (*done)(void *ctx, double slowdown), void *ctx);
 } GatePort;
 
 #endif
--- a/src/bayhoist-gate/schedulers.c
+++ b/src/bayhoist-gate/schedulers.c
@@ -130,8 +130,8 @@
 	g_hash_table_iter_init(&it, c->services);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		Service *s = value;
-		bh__planner_set_part(s->planner, s->schedules_us ? limits_get_part(c, s->schedules_us, now_us) : 0,
-							 now_us);
+		bh__planner_set_rate_share(s->planner,
+								   s->schedules_us ? limits_get_part(c, s->schedules_us, now_us) : 0, now_us);
 	}
 }
 
@@ -185,7 +185,7 @@
 		if (was == self->node_id && s->scheduler != was) {
 			hand_over_(c, s, now_us);
 			bh__planner_refuse_all(s->planner, BH__REASON_NODE_LEAVING);
-			bh__planner_keep_only(s->planner, self->node_id, now_us);
+			bh__planner_drop_other_nodes(s->planner, self->node_id, now_us);
 		}
 		s->schedules_us = s->scheduler == self->node_id ? now_us : 0;
 		s->recorded = false;
@@ -194,7 +194,7 @@
 		else
 			bh__takeover_end(&s->takeover);
 		bh__silence_hear(&s->silence);
-		bh__planner_set_alone(s->planner, s->scheduler != self->node_id);
+		bh__planner_set_local(s->planner, s->scheduler != self->node_id);
 		schedulers_tell_holds(c, s, now_us);
 		if (was && s->scheduler != was)
 			move_asks_(c, s);
@@ -469,7 +469,7 @@
 									m->as.release.failed_endpoint, now_us);
 	}
 	else if (m->type == BH__MESSAGE_PASS)
-		bh__planner_process_pass(s->planner, m->as.release.grant_id, m->as.release.pass_us, now_us);
+		bh__planner_process_iteration(s->planner, m->as.release.grant_id, m->as.release.pass_us, now_us);
 	else if (m->type == BH__MESSAGE_PROGRESS)
 		bh__planner_process_progress(s->planner, m->as.release.grant_id, now_us);
 	else
@@ -498,7 +498,7 @@
 	p->granted_us = clock_now_us();
 	p->asked_node = from_node;
 	if (s)
-		bh__planner_process_note(s->planner, g, clock_now_us());
+		bh__planner_process_remote_grant(s->planner, g, clock_now_us());
 	call_on_grant(call);
 }
 
@@ -552,8 +552,8 @@
 				"bayhoist_engine{service=\"%s\",endpoint=\"%" G_GINT64_MODIFIER
 				"x\",what=\"unread_ms\"} %.0f\n"
 				"bayhoist_engine{service=\"%s\",endpoint=\"%" G_GINT64_MODIFIER "x\",what=\"pace\"} %.2f\n",
-				s->service, e.endpoint_id, e.homes, s->service, e.endpoint_id, e.unread_ms, s->service,
-				e.endpoint_id, e.pace);
+				s->service, e.endpoint_id, e.primaries, s->service, e.endpoint_id, e.prefill_left_ms,
+				s->service, e.endpoint_id, e.slowdown);
 		}
 	}
 }
--- a/src/bench/bench_placement.c
+++ b/src/bench/bench_placement.c
@@ -329,7 +329,7 @@
 	const BH__Limit limit[BH__LIMIT_KIND_COUNT] = {
 		[BH__LIMIT_NAMED] = {.per_s = limits->per_s, .until_us = BH__LIMIT_NO_END}};
 
-	bh__planner_set_part(p, 1, 0);
+	bh__planner_set_rate_share(p, 1, 0);
 	for (unsigned i = 0; i < limits->engines; i++)
 		bh__planner_set_limits(p, i + 1, limit, 0);
 }
@@ -463,7 +463,7 @@
 {
 	Run *run = (Run *)port;
 
-	bh__planner_process_pace(run->planner, endpoint_id, 1, run->now_us);
+	bh__planner_process_slowdown(run->planner, endpoint_id, 1, run->now_us);
 }
 
 static void on_first_(void *ctx, PassRequest *p, uint64_t now_us)
--- a/src/libbayhoist/exchange.c
+++ b/src/libbayhoist/exchange.c
@@ -17,7 +17,7 @@
 #define LEAST_PATIENCE_MS_ 900
 /* With engines not before a pass that reads all that one may, and the network's share, are over: else one
  * long pass has every stream of its engine sent again. */
-#define LEAST_ENGINE_PATIENCE_MS_ (BH__LONGEST_PASS_MS + 200)
+#define LEAST_ENGINE_PATIENCE_MS_ (BH__MAX_ITERATION_MS + 200)
 #define BUDGET_FILL_ 0.7 /* of what is allowed that is used: nodes restart, and then begin anew */
 
 const char *const BH__SendingEndString[] = {"answered", "failed",  "refused", "unreachable",
--- a/src/libbayhoist/include/private/pass_clock.h
+++ b/src/libbayhoist/include/private/pass_clock.h
@@ -33,7 +33,7 @@
 	unsigned streams;
 	uint64_t context_tokens; /* of the streams together */
 	uint64_t seen_us;        /* when it was last moved on */
-	double pace;             /* how much slower than its model the engine was seen to be; 1: as fast */
+	double slowdown;         /* how much slower than its model the engine was seen to be; 1: as fast */
 } BH__PassClock;
 
 void bh__pass_clock_init(BH__PassClock *c);
@@ -54,7 +54,7 @@
 void bh__pass_clock_begin_stream(BH__PassClock *c, const BH__EngineModel *m, uint64_t context_tokens,
 								 uint64_t now_us);
 void bh__pass_clock_end_stream(BH__PassClock *c, uint64_t context_tokens);
-void bh__pass_clock_set_pace(BH__PassClock *c, double pace, uint64_t now_us);
+void bh__pass_clock_set_pace(BH__PassClock *c, double slowdown, uint64_t now_us);
 void bh__pass_clock_observe(BH__PassClock *c, double expected_ms, double observed_ms);
 
 #endif
--- a/src/libbayhoist/include/private/placement.h
+++ b/src/libbayhoist/include/private/placement.h
@@ -35,7 +35,7 @@
 	uint64_t inspected_us;               /* time of the last request for its report; 0: none */
 	uint64_t last_stream_started_us;     /* time of the latest first event from this engine; 0: none */
 	BH__PassClock clock;
-	GPtrArray *homes;      /* BH__PlacedRequest whose answers this engine generates */
+	GPtrArray *primaries;  /* BH__PlacedRequest whose answers this engine generates */
 	unsigned helper_parts; /* parts being prefilled for other engines */
 	uint64_t kv_used_tokens;
 } BH__IterationEngine;
--- a/src/libbayhoist/room.c
+++ b/src/libbayhoist/memory_budget.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
 /* Limits on the memory that a node uses for buffered answers and requests. */
-#include "bayhoist/room.h"
+#include "bayhoist/memory_budget.h"
 
 #include <glib.h>
 
@@ -13,7 +13,7 @@
 /* Returns how many bytes one answer may buffer for its caller, at most `max`. The budget for answers is
  * divided evenly among the node's `connections`, except that every answer gets at least ANSWER_MIN_ bytes.
  * Returns `max` if the size of the VM's memory is unknown. */
-size_t bh__room_get_answer_max(const BH__Room *r, unsigned connections, size_t max)
+size_t bh__memory_budget_get_answer_max(const BH__MemoryBudget *r, unsigned connections, size_t max)
 {
 	double share = (double)r->memory_bytes * ANSWERS_SHARE_ / MAX(connections, 1u);
 
@@ -24,7 +24,7 @@
 
 /* Reserves `len` bytes for a request. Returns false and counts a refusal if that would exceed the budget for
  * requests; always succeeds if the size of the VM's memory is unknown. */
-bool bh__room_take_request(BH__Room *r, size_t len)
+bool bh__memory_budget_reserve_request(BH__MemoryBudget *r, size_t len)
 {
 	double budget = (double)r->memory_bytes * REQUESTS_SHARE_;
 
@@ -37,7 +37,7 @@
 }
 
 /* Returns `len` reserved bytes to the budget. */
-void bh__room_return_request(BH__Room *r, size_t len)
+void bh__memory_budget_release_request(BH__MemoryBudget *r, size_t len)
 {
 	r->request_bytes -= MIN(r->request_bytes, len);
 }
--- a/src/libbayhoist/pass_clock.c
+++ b/src/libbayhoist/pass_clock.c
@@ -47,7 +47,7 @@
 	memset(c, 0, sizeof *c);
 	c->parts = g_array_new(FALSE, FALSE, sizeof(BH__PassPart));
 	c->done = g_array_new(FALSE, FALSE, sizeof(BH__PassPart));
-	c->pace = 1;
+	c->slowdown = 1;
 }
 
 void bh__pass_clock_clear(BH__PassClock *c)
@@ -68,11 +68,11 @@
 
 	if (now_us <= was_us)
 		return;
-	if (c->pace > 1)
-		c->pace -= (c->pace - 1) * MIN((double)(now_us - was_us) / (double)PACE_FORGET_US_, 1);
+	if (c->slowdown > 1)
+		c->slowdown -= (c->slowdown - 1) * MIN((double)(now_us - was_us) / (double)PACE_FORGET_US_, 1);
 	c->seen_us = now_us;
 	if (!c->streams) {
-		read_on_(c, (double)(now_us - was_us) / 1000 / c->pace);
+		read_on_(c, (double)(now_us - was_us) / 1000 / c->slowdown);
 		return;
 	}
 	for (unsigned i = 0; c->pass_end_us <= now_us && i < PASSES_AT_ONCE_; i++) {
@@ -123,7 +123,7 @@
 		ms += p->left_ms;
 	}
 	c->pass_begun_us = now_us;
-	c->pass_end_us = now_us + (uint64_t)(c->pace * 1000 * ms) + 1;
+	c->pass_end_us = now_us + (uint64_t)(c->slowdown * 1000 * ms) + 1;
 }
 
 /* What the pass under way reads has been read. */
@@ -184,7 +184,7 @@
 		ms += part_(c, (int)i)->left_ms;
 	for (guint i = 0; i < c->done->len; i++)
 		ms += g_array_index(c->done, BH__PassPart, i).left_ms;
-	return ms * c->pace;
+	return ms * c->slowdown;
 }
 
 /* Returns how much the engine has to read that no pass has taken up, in ms at pace 1. */
@@ -207,8 +207,8 @@
  */
 double bh__pass_clock_next_pass_ms(const BH__PassClock *c, const BH__EngineModel *m, double more_ms)
 {
-	return c->pace * (bh__engine_model_pass_ms(m, c->streams, c->context_tokens) +
-					  bh__pass_clock_get_backlog_ms(c) + more_ms);
+	return c->slowdown * (bh__engine_model_pass_ms(m, c->streams, c->context_tokens) +
+						  bh__pass_clock_get_backlog_ms(c) + more_ms);
 }
 
 /* Returns when a part that arrives now and takes `read_ms` to read would have been read. */
@@ -220,13 +220,13 @@
 
 	if (c->streams && c->pass_end_us < now_us + UNDER_WAY_US_) /* it misses the next pass */
 		ms = bh__pass_clock_next_pass_ms(c, m, 0) +
-			 c->pace * (bh__engine_model_pass_ms(m, c->streams, c->context_tokens) + read_ms);
+			 c->slowdown * (bh__engine_model_pass_ms(m, c->streams, c->context_tokens) + read_ms);
 	else if (c->streams)
 		ms = bh__pass_clock_next_pass_ms(c, m, read_ms);
 	else if (helps)
-		ms = c->pace * (m->step_ms + read_ms);
+		ms = c->slowdown * (m->step_ms + read_ms);
 	else
-		ms = c->pace * (m->step_ms + bh__pass_clock_get_backlog_ms(c) + read_ms) + first_pass_ms_(c, m);
+		ms = c->slowdown * (m->step_ms + bh__pass_clock_get_backlog_ms(c) + read_ms) + first_pass_ms_(c, m);
 	return start_us + (uint64_t)(ms * 1000);
 }
 
@@ -236,7 +236,7 @@
 {
 	for (guint i = 0; i < c->parts->len; i++)
 		if (!part_(c, (int)i)->helps)
-			return c->pace * bh__engine_model_pass_ms(m, 1, 0);
+			return c->slowdown * bh__engine_model_pass_ms(m, 1, 0);
 	return 0;
 }
 
@@ -252,13 +252,13 @@
 	for (int i = next_part_(c, -1); i >= 0; i = next_part_(c, i)) {
 		const BH__PassPart *p = part_(c, i);
 		double slack_ms;
-		end_ms += p->left_ms * c->pace;
+		end_ms += p->left_ms * c->slowdown;
 		if (p->left_ms <= DONE_SOON_MS_)
 			continue;
 		slack_ms = slack_ms_(p, end_ms, now_us);
 		room_ms = MIN(room_ms, p->left_ms * OVERTAKE_SHARE_);
 		if (slack_ms > 0)
-			room_ms = MIN(room_ms, slack_ms / c->pace);
+			room_ms = MIN(room_ms, slack_ms / c->slowdown);
 	}
 	return room_ms;
 }
@@ -287,7 +287,7 @@
 	for (guint i = c->in_pass; i < c->parts->len; i++) {
 		double slack_ms = slack_ms_(part_(c, (int)i), end_ms, now_us);
 		if (slack_ms > 0)
-			room_ms = MIN(room_ms, slack_ms / c->pace);
+			room_ms = MIN(room_ms, slack_ms / c->slowdown);
 	}
 	return room_ms;
 }
@@ -301,9 +301,9 @@
 	for (int i = next_part_(c, -1); i >= 0; i = next_part_(c, i)) {
 		const BH__PassPart *p = part_(c, i);
 		double slack_ms;
-		end_ms += p->left_ms * c->pace;
+		end_ms += p->left_ms * c->slowdown;
 		slack_ms = aim_slack_ms_(p, end_ms, now_us);
-		if (slack_ms > 0 && slack_ms < read_ms * c->pace)
+		if (slack_ms > 0 && slack_ms < read_ms * c->slowdown)
 			damage += p->value;
 	}
 	return damage;
@@ -336,7 +336,7 @@
 	forget_done_(c, grant_id);
 	if (i < 0)
 		return;
-	left_us = (uint64_t)(part_(c, i)->left_ms * c->pace * 1000);
+	left_us = (uint64_t)(part_(c, i)->left_ms * c->slowdown * 1000);
 	if ((unsigned)i < c->in_pass) {
 		c->in_pass--;
 		c->pass_end_us = c->pass_end_us > now_us + left_us ? c->pass_end_us - left_us : now_us + 1;
@@ -404,12 +404,12 @@
 	if (expected_ms < OBSERVABLE_MS_)
 		return;
 	ratio = CLAMP((observed_ms - NETWORK_MS_) / expected_ms, 0, RATIO_MAX_);
-	c->pace = CLAMP(c->pace + PACE_WEIGHT_ * (ratio - c->pace), PACE_MIN_, PACE_MAX_);
+	c->slowdown = CLAMP(c->slowdown + PACE_WEIGHT_ * (ratio - c->slowdown), PACE_MIN_, PACE_MAX_);
 }
 
 /* Takes the pace that an engine tells of itself. */
-void bh__pass_clock_set_pace(BH__PassClock *c, double pace, uint64_t now_us)
+void bh__pass_clock_set_pace(BH__PassClock *c, double slowdown, uint64_t now_us)
 {
-	c->pace = CLAMP(pace, PACE_MIN_, PACE_MAX_);
+	c->slowdown = CLAMP(slowdown, PACE_MIN_, PACE_MAX_);
 	c->seen_us = MAX(c->seen_us, now_us);
 }
--- a/src/libbayhoist/placement.c
+++ b/src/libbayhoist/placement.c
@@ -20,7 +20,7 @@
 #define GAP_MARGIN_MS_ 25.0
 #define FIRST_EVENT_MARGIN_MS_ 35.0
 /* Limit on an iteration of an engine without streams, where a stream may start at any time. */
-#define LOOSE_LIMIT_MS_ ((double)BH__LONGEST_PASS_MS)
+#define LOOSE_LIMIT_MS_ ((double)BH__MAX_ITERATION_MS)
 #define TIGHT_GAP_US_ (300 * BH__MS_US) /* streams with an event gap up to this are tight */
 #define TIGHT_LIMIT_MS_ 180.0           /* limit on an iteration of an engine reserved for tight streams */
 #define TIGHT_HEADROOM_MS_ 40.0         /* part of such an iteration that is kept free for tight prompts */
@@ -119,8 +119,8 @@
  * due. Prompts with helpers do not count, because any of the engines may be the cause. */
 static bool is_overdue_(const BH__IterationEngine *e, uint64_t now_us)
 {
-	for (guint i = 0; i < e->homes->len; i++) {
-		const BH__PlacedRequest *r = g_ptr_array_index(e->homes, i);
+	for (guint i = 0; i < e->primaries->len; i++) {
+		const BH__PlacedRequest *r = g_ptr_array_index(e->primaries, i);
 		uint64_t due_us = r->granted_us + r->grant.expected_us;
 		if (!r->grant.writes && r->grant.member_count == 1 && now_us > due_us + OVERDUE_US_ &&
 			e->last_stream_started_us < due_us)
@@ -195,12 +195,12 @@
 	c->next_iteration_ms = bh__pass_clock_next_pass_ms(&e->clock, m, 0);
 	c->pending_ms = c->next_iteration_ms + bh__pass_clock_get_pass_left_ms(&e->clock, now_us);
 	c->overtake_headroom_ms = bh__pass_clock_get_room_ms(&e->clock, m, now_us);
-	c->slots_free = e->homes->len < m->slots ? m->slots - e->homes->len : 0;
+	c->slots_free = e->primaries->len < m->slots ? m->slots - e->primaries->len : 0;
 	c->helper_slots_free = e->helper_parts < m->slots ? m->slots - e->helper_parts : 0;
 	c->limited = bh__endpoint_rate_is_limited(&e->rate, now_us);
 	c->kv_free_tokens = capacity > e->kv_used_tokens ? capacity - e->kv_used_tokens : 0;
-	for (guint i = 0; i < e->homes->len; i++) {
-		const BH__PlacedRequest *r = g_ptr_array_index(e->homes, i);
+	for (guint i = 0; i < e->primaries->len; i++) {
+		const BH__PlacedRequest *r = g_ptr_array_index(e->primaries, i);
 		double limit_ms = gap_limit_ms_(r->event_gap_us);
 		if (limit_ms <= 0)
 			continue;
@@ -245,7 +245,7 @@
 {
 	double iteration_ms = c->engine->clock.streams || c->reserved ? c->next_iteration_ms : 0;
 
-	return MIN(c->overtake_headroom_ms, (c->limit_ms - iteration_ms) / c->engine->clock.pace);
+	return MIN(c->overtake_headroom_ms, (c->limit_ms - iteration_ms) / c->engine->clock.slowdown);
 }
 
 /* Finds a placement that makes no stream late. An engine that generates no answer may prefill for
@@ -294,7 +294,7 @@
 		unsigned n = 0;
 		for (unsigned i = 0; i < count && n < parts; i++) {
 			double limit_ms = MIN(c[i].limit_ms, own_limit_ms);
-			bool fits = c[i].next_iteration_ms + part_ms * c[i].engine->clock.pace <= limit_ms &&
+			bool fits = c[i].next_iteration_ms + part_ms * c[i].engine->clock.slowdown <= limit_ms &&
 						part_ms <= c[i].overtake_headroom_ms;
 			bool has_slot =
 				n > 0 ? c[i].helper_slots_free > 0
@@ -339,7 +339,7 @@
 		loose++;
 	if (idle_prefill_ms > 0)
 		for (unsigned i = 0; i < loose; i++)
-			if (!c[i].engine->homes->len)
+			if (!c[i].engine->primaries->len)
 				c[i].limit_ms = MAX(c[i].limit_ms, idle_prefill_ms);
 	for (unsigned i = loose; i < count; i++)
 		c[i].limit_ms -= TIGHT_HEADROOM_MS_;
@@ -450,7 +450,7 @@
 		uint64_t end_us = bh__pass_clock_predict_read(&c[i].engine->clock, m, part_ms, i > 0, now_us);
 		out->engine[i] = c[i].engine;
 		out->prefill_end_us = MAX(out->prefill_end_us, end_us);
-		if (c[i].next_iteration_ms + part_ms * c[i].engine->clock.pace > c[i].limit_ms)
+		if (c[i].next_iteration_ms + part_ms * c[i].engine->clock.slowdown > c[i].limit_ms)
 			out->delay_cost += c[i].delay_cost;
 		out->delay_cost +=
 			BH__LATE_UTILITY_LOSS * bh__pass_clock_get_damage(&c[i].engine->clock, part_ms, now_us);
@@ -483,7 +483,7 @@
 	for (unsigned i = 0; i < count; i++) {
 		bool has_memory = c[i].kv_free_tokens >= need_tokens;
 		bool starts_without_pause =
-			limit_ms <= 0 || c[i].pending_ms + part_ms * c[i].engine->clock.pace <= limit_ms;
+			limit_ms <= 0 || c[i].pending_ms + part_ms * c[i].engine->clock.slowdown <= limit_ms;
 		unsigned score = (has_memory ? 2 : 0) + (starts_without_pause ? 1 : 0);
 		if (!c[i].slots_free)
 			continue;
--- a/src/libbayhoist/planner.c
+++ b/src/libbayhoist/planner.c
@@ -83,7 +83,7 @@
 /* Sets whether this planner sees only the work of its own node, because another node schedules the service. A
  * local planner fills engines in an order that is specific to its node, so that nodes which place requests
  * independently at the same time do not all fill the same engines. */
-void bh__planner_set_alone(BH__Planner *p, bool is_local)
+void bh__planner_set_local(BH__Planner *p, bool is_local)
 {
 	p->order_seed = is_local ? p->boot_id : 0;
 	g_ptr_array_sort_with_data(p->engines, compare_order_, &p->order_seed);
@@ -104,7 +104,7 @@
 {
 	BH__IterationEngine *e = engine;
 
-	g_ptr_array_unref(e->homes);
+	g_ptr_array_unref(e->primaries);
 	bh__pass_clock_clear(&e->clock);
 	g_free(e);
 }
@@ -122,7 +122,7 @@
 
 	e->endpoint_id = endpoint_id;
 	e->incarnation = incarnation;
-	e->homes = g_ptr_array_new();
+	e->primaries = g_ptr_array_new();
 	bh__pass_clock_init(&e->clock);
 	g_ptr_array_add(p->engines, e);
 	g_hash_table_insert(p->by_id, &e->endpoint_id, e);
@@ -164,7 +164,7 @@
 
 /* Sets the share of the engines' rate limits that this planner enforces, from 0 to 1. With 0 it gives no
  * grants on rate-limited engines. */
-void bh__planner_set_part(BH__Planner *p, double rate_share, uint64_t now_us)
+void bh__planner_set_rate_share(BH__Planner *p, double rate_share, uint64_t now_us)
 {
 	p->rate_share = rate_share;
 	for (guint i = 0; i < p->engines->len; i++)
@@ -186,7 +186,7 @@
 			if (g->member[i].endpoint_id == e->endpoint_id)
 				g->member[i].endpoint_id = BH__NO_ENDPOINT;
 	}
-	g_ptr_array_set_size(e->homes, 0);
+	g_ptr_array_set_size(e->primaries, 0);
 	bh__pass_clock_clear(&e->clock);
 	bh__pass_clock_init(&e->clock);
 	e->incarnation = incarnation;
@@ -249,9 +249,10 @@
 	for (unsigned i = 0; i < placement->count; i++)
 		bh__endpoint_rate_note(&placement->engine[i]->rate, now_us);
 	r = add_grant_(p, &g, due_us, first_event_target_us, now_us);
-	r->expected_ms = (double)(placement->prefill_end_us - now_us) / 1000 / placement->engine[0]->clock.pace;
+	r->expected_ms =
+		(double)(placement->prefill_end_us - now_us) / 1000 / placement->engine[0]->clock.slowdown;
 	for (unsigned i = 0; i < placement->count; i++)
-		if (placement->engine[i]->clock.pace > INSPECT_SLOWDOWN_)
+		if (placement->engine[i]->clock.slowdown > INSPECT_SLOWDOWN_)
 			request_report_(p, placement->engine[i], now_us);
 	p->counters.grants++;
 	p->counters.helped += placement->count > 1;
@@ -300,7 +301,7 @@
 									now_us);
 		e->kv_used_tokens += g->member[i].kv_bytes;
 		if (i == 0)
-			g_ptr_array_add(e->homes, r);
+			g_ptr_array_add(e->primaries, r);
 		else
 			e->helper_parts += !g->writes;
 	}
@@ -335,7 +336,7 @@
 		e->kv_used_tokens -= MIN(e->kv_used_tokens, r->grant.member[i].kv_bytes);
 		if (i > 0)
 			continue;
-		if (g_ptr_array_remove_fast(e->homes, r) && r->grant.writes) {
+		if (g_ptr_array_remove_fast(e->primaries, r) && r->grant.writes) {
 			bh__pass_clock_advance(&e->clock, &p->model, now_us);
 			bh__pass_clock_end_stream(&e->clock, r->tokens);
 		}
@@ -364,7 +365,7 @@
 }
 
 /* Adds a grant that another node's planner has given. A known grant is ignored. */
-void bh__planner_process_note(BH__Planner *p, const BH__Grant *grant, uint64_t now_us)
+void bh__planner_process_remote_grant(BH__Planner *p, const BH__Grant *grant, uint64_t now_us)
 {
 	if (!g_hash_table_contains(p->by_grant, &grant->grant_id))
 		add_grant_(p, grant, now_us + grant->expected_us, now_us + grant->expected_us, now_us);
@@ -383,14 +384,14 @@
 }
 
 /* Sets the slowdown factor that an engine has reported. */
-void bh__planner_process_pace(BH__Planner *p, uint64_t endpoint_id, double pace, uint64_t now_us)
+void bh__planner_process_slowdown(BH__Planner *p, uint64_t endpoint_id, double slowdown, uint64_t now_us)
 {
 	BH__IterationEngine *e = find_engine_(p, endpoint_id);
 
 	if (!e)
 		return;
 	bh__pass_clock_advance(&e->clock, &p->model, now_us);
-	bh__pass_clock_set_pace(&e->clock, pace, now_us);
+	bh__pass_clock_set_pace(&e->clock, slowdown, now_us);
 }
 
 /* Inspects all engines of a request whose first event, after `took_ms`, came much later than predicted. */
@@ -432,7 +433,7 @@
 
 /* Records that a stream has paused for `iteration_us` during a long iteration of its engine, which has just
  * ended. */
-void bh__planner_process_pass(BH__Planner *p, uint64_t grant_id, uint64_t iteration_us, uint64_t now_us)
+void bh__planner_process_iteration(BH__Planner *p, uint64_t grant_id, uint64_t iteration_us, uint64_t now_us)
 {
 	BH__PlacedRequest *r = g_hash_table_lookup(p->by_grant, &grant_id);
 	BH__IterationEngine *e = r && r->grant.writes ? find_engine_(p, r->grant.member[0].endpoint_id) : NULL;
@@ -560,7 +561,7 @@
 
 /* Removes the grants of all nodes other than `node_id`. Called when this node stops scheduling the service.
  */
-void bh__planner_keep_only(BH__Planner *p, uint64_t node_id, uint64_t now_us)
+void bh__planner_drop_other_nodes(BH__Planner *p, uint64_t node_id, uint64_t now_us)
 {
 	GPtrArray *list = list_node_grants_(p, node_id, true);
 
@@ -581,12 +582,12 @@
 	const BH__IterationEngine *e = g_ptr_array_index(p->engines, index);
 
 	*out = (BH__PlannerEngine){.endpoint_id = e->endpoint_id,
-							   .homes = e->homes->len,
+							   .primaries = e->primaries->len,
 							   .streams = e->clock.streams,
 							   .helps = e->helper_parts,
 							   .kv_used_tokens = e->kv_used_tokens,
-							   .unread_ms = bh__pass_clock_get_backlog_ms(&e->clock),
-							   .pace = e->clock.pace,
+							   .prefill_left_ms = bh__pass_clock_get_backlog_ms(&e->clock),
+							   .slowdown = e->clock.slowdown,
 							   .usable = !e->leaving};
 }
 
--- a/src/test_libbayhoist/test_cold.c
+++ b/src/test_libbayhoist/test_cold.c
@@ -179,8 +179,8 @@
 	s->now_us = NOW_US;
 	s->planner = bh__planner_new(&s->port, 3, boot_id);
 	bh__planner_set_model(s->planner, &m);
-	bh__planner_set_alone(s->planner, part <= 0);
-	bh__planner_set_part(s->planner, part, NOW_US);
+	bh__planner_set_local(s->planner, part <= 0);
+	bh__planner_set_rate_share(s->planner, part, NOW_US);
 	bh__planner_set_limits(s->planner, 1, limit, NOW_US);
 	bh__planner_set_endpoint(s->planner, 1, 1, false, NOW_US);
 	return s;
@@ -222,10 +222,10 @@
 			alone[n] = scheduler_new_(arrivals, 10 + n, 0);
 		for (uint64_t us = NOW_US; us < NOW_US + COLD_US; us += STEP_US) {
 			if (us == NOW_US + COLD_US / 2)
-				bh__planner_set_alone(second->planner, false);
+				bh__planner_set_local(second->planner, false);
 			if (us >= NOW_US + COLD_US / 2)
-				bh__planner_set_part(second->planner,
-									 bh__home_part(counts[i], counts[i], NOW_US + COLD_US / 2, us), us);
+				bh__planner_set_rate_share(second->planner,
+										   bh__home_part(counts[i], counts[i], NOW_US + COLD_US / 2, us), us);
 			ask_(first, us);
 			ask_(second, us);
 			for (unsigned n = 0; n < alone_count; n++)
--- a/src/test_libbayhoist/test_gateway.c
+++ b/src/test_libbayhoist/test_gateway.c
@@ -323,8 +323,8 @@
 	BH__RouteRule archive = {.target_ms = 3000, .event_gap_ms = 800};
 
 	(void)state;
-	assert_true(bh__patience_us(&page, true, false) > BH__LONGEST_PASS_MS * BH__MS_US);
-	assert_true(bh__patience_us(&page, true, true) > BH__LONGEST_PASS_MS * BH__MS_US);
+	assert_true(bh__patience_us(&page, true, false) > BH__MAX_ITERATION_MS * BH__MS_US);
+	assert_true(bh__patience_us(&page, true, true) > BH__MAX_ITERATION_MS * BH__MS_US);
 	assert_int_equal(bh__patience_us(&archive, true, false), 6500 * BH__MS_US);
 	assert_int_equal(bh__patience_us(&archive, true, true), 3200 * BH__MS_US);
 	assert_int_equal(bh__patience_us(&page, false, true),
--- a/src/test_libbayhoist/test_limits.c
+++ b/src/test_libbayhoist/test_limits.c
@@ -6,7 +6,7 @@
 #include <setjmp.h>
 #include <cmocka.h>
 #include <string.h>
-#include "bayhoist/room.h"
+#include "bayhoist/memory_budget.h"
 #include "bayhoist/hash.h"
 #include "bayhoist/once.h"
 #include "bayhoist/quota.h"
@@ -268,25 +268,25 @@
 {
 	const unsigned connections[] = {1, 100, 1000, 3000, 10000};
 	const size_t max = 128 * 1024;
-	BH__Room r = {.memory_bytes = 160 * 1024 * 1024};
-	BH__Room unknown = {0};
+	BH__MemoryBudget r = {.memory_bytes = 160 * 1024 * 1024};
+	BH__MemoryBudget unknown = {0};
 	size_t kept = 0;
 
 	(void)state;
-	assert_int_equal(bh__room_get_answer_max(&r, 1, max), max);
-	assert_int_equal(bh__room_get_answer_max(&unknown, 100000, max), max);
+	assert_int_equal(bh__memory_budget_get_answer_max(&r, 1, max), max);
+	assert_int_equal(bh__memory_budget_get_answer_max(&unknown, 100000, max), max);
 	for (size_t i = 0; i < G_N_ELEMENTS(connections); i++) {
-		size_t each = bh__room_get_answer_max(&r, connections[i], max);
+		size_t each = bh__memory_budget_get_answer_max(&r, connections[i], max);
 		assert_true(each >= 8 * 1024);
 		assert_true(each == 8 * 1024 || each * connections[i] <= r.memory_bytes / 4);
 	}
-	while (bh__room_take_request(&r, 75000))
+	while (bh__memory_budget_reserve_request(&r, 75000))
 		kept += 75000;
 	assert_true(kept <= r.memory_bytes / 5 && kept >= r.memory_bytes / 10);
 	assert_int_equal(r.refusals, 1);
-	bh__room_return_request(&r, 75000);
-	assert_true(bh__room_take_request(&r, 75000));
-	assert_true(bh__room_take_request(&unknown, 1000 * 1000 * 1000));
+	bh__memory_budget_release_request(&r, 75000);
+	assert_true(bh__memory_budget_reserve_request(&r, 75000));
+	assert_true(bh__memory_budget_reserve_request(&unknown, 1000 * 1000 * 1000));
 }
 
 int main(void)
--- a/src/test_libbayhoist/test_planner.c
+++ b/src/test_libbayhoist/test_planner.c
@@ -268,9 +268,9 @@
 		if (e.endpoint_id != 1)
 			continue;
 		assert_int_equal(e.kv_used_tokens, 0);
-		assert_int_equal(e.homes, 0);
+		assert_int_equal(e.primaries, 0);
 		assert_int_equal(e.helps, 0);
-		assert_true(e.unread_ms == 0);
+		assert_true(e.prefill_left_ms == 0);
 	}
 	assert_int_equal(others, 1);
 	g_array_set_size(b->grants, 0);
@@ -311,7 +311,7 @@
 	for (unsigned i = 0; i < bh__planner_get_engine_count(b->planner); i++) {
 		BH__PlannerEngine e;
 		bh__planner_get_engine(b->planner, i, &e);
-		ms += e.unread_ms;
+		ms += e.prefill_left_ms;
 	}
 	return ms;
 }
@@ -378,7 +378,7 @@
 	for (unsigned i = 0; i < ENGINES; i++) {
 		BH__PlannerEngine e;
 		bh__planner_get_engine(b->planner, i, &e);
-		assert_int_equal(e.homes, 0);
+		assert_int_equal(e.primaries, 0);
 		assert_int_equal(e.helps, 0);
 		assert_int_equal(e.streams, 0);
 		assert_int_equal(e.kv_used_tokens, 0);
@@ -394,7 +394,7 @@
 	BH__Ask first = ask_(old, LONG);
 	BH__Ask second = ask_(old, PAGE);
 	BH__PlannerEngine e;
-	unsigned homes = 0;
+	unsigned primaries = 0;
 
 	(void)state;
 	bh__planner_process_ask(old->planner, &first, 1000);
@@ -402,16 +402,16 @@
 	bh__planner_process_hold(b->planner, 1, 1, true, grant_(old, 0), 2, 2000);
 	for (unsigned i = 0; i < ENGINES; i++) {
 		bh__planner_get_engine(b->planner, i, &e);
-		homes += e.homes;
+		primaries += e.primaries;
 	}
-	assert_int_equal(homes, 2);
+	assert_int_equal(primaries, 2);
 	bh__planner_process_hold(b->planner, 1, 1, false, grant_(old, 0), 1, 10 * BH__SECOND_US);
-	homes = 0;
+	primaries = 0;
 	for (unsigned i = 0; i < ENGINES; i++) {
 		bh__planner_get_engine(b->planner, i, &e);
-		homes += e.homes;
+		primaries += e.primaries;
 	}
-	assert_int_equal(homes, 1);
+	assert_int_equal(primaries, 1);
 	bench_free_(b);
 	bench_free_(old);
 }
@@ -428,7 +428,7 @@
 	bh__planner_process_ask(b->planner, &a, 1000);
 	bh__planner_process_progress(b->planner, grant_(b, 0)->grant_id, 2 * BH__SECOND_US);
 	assert_int_equal(b->inspected, grant_(b, 0)->member_count);
-	bh__planner_process_pace(b->planner, grant_(b, 0)->member[1].endpoint_id, 4, 2 * BH__SECOND_US);
+	bh__planner_process_slowdown(b->planner, grant_(b, 0)->member[1].endpoint_id, 4, 2 * BH__SECOND_US);
 	bh__planner_process_ask(b->planner, &again, 2 * BH__SECOND_US + 10 * MS);
 	for (unsigned i = 0; i < grant_(b, 1)->member_count; i++)
 		assert_true(grant_(b, 1)->member[i].endpoint_id != grant_(b, 0)->member[1].endpoint_id);
@@ -528,7 +528,7 @@
 		bh__planner_delete(b->planner);
 		b->planner = bh__planner_new(&b->port, 3, node * 77);
 		bh__planner_set_model(b->planner, &m);
-		bh__planner_set_alone(b->planner, true);
+		bh__planner_set_local(b->planner, true);
 		for (unsigned i = 1; i <= ENGINES; i++)
 			bh__planner_set_endpoint(b->planner, i, 0, false, 0);
 		bh__planner_process_ask(b->planner, &a, 1000);
@@ -658,14 +658,14 @@
 	for (uint64_t engine = 1; engine <= 2; engine++) { /* each writes a stream */
 		g.grant_id++;
 		g.member[0] = (BH__GrantMember){.endpoint_id = engine, .token_count = MEDIUM, .kv_bytes = MEDIUM};
-		bh__planner_process_note(b->planner, &g, now_us);
+		bh__planner_process_remote_grant(b->planner, &g, now_us);
 		bh__planner_process_progress(b->planner, g.grant_id, now_us + 300 * MS);
 	}
 	g = (BH__Grant){.grant_id = 910, .node_id = 2, .member_count = 2, .event_gap_us = 500 * MS};
 	g.member[0] = (BH__GrantMember){.endpoint_id = 1, .token_count = MEDIUM / 2, .kv_bytes = MEDIUM};
 	g.member[1] = (BH__GrantMember){.endpoint_id = 2, .token_count = MEDIUM / 2};
 	now_us += 310 * MS;
-	bh__planner_process_note(b->planner, &g, now_us);
+	bh__planner_process_remote_grant(b->planner, &g, now_us);
 	now_us += 55 * MS; /* its parts are in the pass under way */
 	for (unsigned i = 0; i < 3; i++) {
 		BH__Ask a = ask_(b, MEDIUM);
@@ -807,7 +807,7 @@
 	unsigned helped = 0;
 
 	(void)state;
-	bh__planner_set_part(b->planner, 1, 0);
+	bh__planner_set_rate_share(b->planner, 1, 0);
 	limit_(b, limited, 2);
 	for (unsigned i = 0; i < 40; i++) {
 		BH__Ask a = ask_(b, LONG);
@@ -837,7 +837,7 @@
 	Bench *b = bench_new_(2);
 
 	(void)state;
-	bh__planner_set_part(b->planner, 1, 0);
+	bh__planner_set_rate_share(b->planner, 1, 0);
 	limit_(b, 2, 1);
 	for (unsigned i = 0; i < 30; i++) {
 		BH__Ask a = ask_(b, PAGE);
@@ -856,7 +856,7 @@
 	BH__Ask a = ask_(b, MEDIUM);
 
 	(void)state;
-	bh__planner_set_part(b->planner, 1, 0);
+	bh__planner_set_rate_share(b->planner, 1, 0);
 	limit_(b, 3, 50);
 	bh__planner_process_ask(b->planner, &a, BH__SECOND_US);
 	assert_true(grant_(b, 0)->member_count > 1);
@@ -871,7 +871,7 @@
 	Bench *b = bench_new_(3);
 
 	(void)state;
-	bh__planner_set_alone(b->planner, true);
+	bh__planner_set_local(b->planner, true);
 	limit_(b, 2, 100);
 	for (unsigned i = 0; i < 5; i++) {
 		BH__Ask a = ask_(b, PAGE);
