--- a/include/bayhoist/planner.h
+++ b/include/bayhoist/planner.h
@@ -44,7 +44,7 @@
 	uint64_t endpoint_id;
 	unsigned primaries;      /* requests whose answers the engine generates */
 	unsigned streams;        /* answers that have started */
-	unsigned helps;          /* prompt parts that the engine prefills for other engines */
+	unsigned helper_parts;   /* prompt parts that the engine prefills for other engines */
 	uint64_t kv_used_tokens; /* memory granted on the engine, in tokens */
 	double prefill_left_ms;  /* remaining prefill time at slowdown 1 */
 	double slowdown;         /* slowdown factor against the model; 1: as fast as the model */
--- a/src/libbayhoist/planner.c
+++ b/src/libbayhoist/planner.c
@@ -584,7 +584,7 @@
 	*out = (BH__PlannerEngine){.endpoint_id = e->endpoint_id,
 							   .primaries = e->primaries->len,
 							   .streams = e->clock.streams,
-							   .helps = e->helper_parts,
+							   .helper_parts = e->helper_parts,
 							   .kv_used_tokens = e->kv_used_tokens,
 							   .prefill_left_ms = bh__pass_clock_get_backlog_ms(&e->clock),
 							   .slowdown = e->clock.slowdown,
--- a/src/test_libbayhoist/test_planner.c
+++ b/src/test_libbayhoist/test_planner.c
@@ -269,7 +269,7 @@
 			continue;
 		assert_int_equal(e.kv_used_tokens, 0);
 		assert_int_equal(e.primaries, 0);
-		assert_int_equal(e.helps, 0);
+		assert_int_equal(e.helper_parts, 0);
 		assert_true(e.prefill_left_ms == 0);
 	}
 	assert_int_equal(others, 1);
@@ -379,7 +379,7 @@
 		BH__PlannerEngine e;
 		bh__planner_get_engine(b->planner, i, &e);
 		assert_int_equal(e.primaries, 0);
-		assert_int_equal(e.helps, 0);
+		assert_int_equal(e.helper_parts, 0);
 		assert_int_equal(e.streams, 0);
 		assert_int_equal(e.kv_used_tokens, 0);
 	}
