--- a/include/bayhoist/engine_model.h
+++ b/include/bayhoist/engine_model.h
@@ -1,23 +1,24 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* How long a model engine takes: it works in passes, in which every running stream gains a run of tokens and
- * the prompts that wait are read. All figures come from the configuration of the service. */
+/* A timing model of an inference engine. The engine works in iterations; in each of them every running stream
+ * gains a run of tokens and the engine prefills the waiting prompts. All parameters come from the
+ * configuration of the service. */
 #ifndef BAYHOIST_ENGINE_MODEL_H
 #define BAYHOIST_ENGINE_MODEL_H
 
 #include "bayhoist/types.h"
 
 typedef struct {
-	uint32_t slots;            /* requests that it works on at a time */
-	uint64_t kv_tokens;        /* tokens of context that its memory holds */
-	uint32_t steps_per_pass;   /* token steps of a pass in which a stream is written */
-	uint32_t tokens_per_step;  /* prompt tokens that are read beside one token step, at most */
-	double step_ms;            /* a token step */
-	double per_stream_ms;      /* more for each stream written in it */
-	double per_kilotoken_ms;   /* more for each thousand tokens of a stream's context */
-	double read_tokens_per_ms; /* prompt tokens read in a millisecond */
-	double per_megapair_ms;    /* more for each million pairs of a token and one before it */
-	double hop_ms;             /* more in a step for a stream whose prompt helpers hold */
-	double report_lag_ms;      /* age of what an engine says of itself */
+	uint32_t slots;            /* requests that the engine processes concurrently */
+	uint64_t kv_tokens;        /* capacity of the KV cache in tokens */
+	uint32_t steps_per_pass;   /* decode steps of an iteration with at least one stream */
+	uint32_t tokens_per_step;  /* maximum of prompt tokens prefilled along with one decode step */
+	double step_ms;            /* base time of a decode step */
+	double per_stream_ms;      /* added to a decode step for each stream */
+	double per_kilotoken_ms;   /* added to a decode step for each thousand context tokens of its streams */
+	double read_tokens_per_ms; /* prompt tokens prefilled in a millisecond */
+	double per_megapair_ms;    /* added to the prefill for each million attention pairs */
+	double hop_ms;             /* added to a decode step for a stream with part of its prompt on helpers */
+	double report_lag_ms;      /* age of the load that an engine reports */
 } BH__EngineModel;
 
 void bh__engine_model_init(BH__EngineModel *m);
--- a/src/libbayhoist/forecast.c
+++ b/src/libbayhoist/forecast.c
@@ -1,20 +1,20 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* A pool's forecasts. */
+/* Forecasts of the load and of the waiting and run times of a pool. */
 #include "forecast.h"
 
 #include <math.h>
 
-#define MIX_WINDOW_US_ (30.0 * 1e6)
+#define MIX_DECAY_US_ (30.0 * 1e6) /* time constant of the decay of the load mix */
 #define LONG_SHARE_MARGIN_ 1.25
-#define RATE_SAMPLE_ 32u /* engines of a pool are alike */
-#define RATE_KEPT_US_ (50 * BH__MS_US)
+#define RATE_SAMPLE_MAX_ 32u /* a sample is enough, as the engines of a pool are alike */
+#define RATES_VALID_US_ (50 * BH__MS_US)
 
-static void take_rates_(BH__Forecast *f, const BH__Engines *engines, uint64_t now_us);
+static void update_rates_(BH__Forecast *f, const BH__Engines *engines, uint64_t now_us);
 
-/* Notes work that arrives in a lane. */
+/* Adds `tokens` that arrive in a lane to the load mix, after decaying what arrived earlier. */
 void bh__forecast_note_arrival(BH__Forecast *f, BH__Lane lane, uint64_t tokens, uint64_t now_us)
 {
-	double keep = exp(-(double)(now_us - f->mix_updated_us) / MIX_WINDOW_US_);
+	double keep = exp(-(double)(now_us - f->mix_updated_us) / MIX_DECAY_US_);
 
 	for (int i = 0; i < BH__LANE_COUNT; i++)
 		f->mix_tokens[i] *= keep;
@@ -22,35 +22,36 @@
 	f->mix_tokens[lane] += (double)tokens;
 }
 
-/* Takes the mean rates of usable engines, unless that was done a moment ago. */
-static void take_rates_(BH__Forecast *f, const BH__Engines *engines, uint64_t now_us)
+/* Computes the mean rates of the usable engines from a sample of the pool. Does nothing while the last result
+ * is less than RATES_VALID_US_ old. */
+static void update_rates_(BH__Forecast *f, const BH__Engines *engines, uint64_t now_us)
 {
-	unsigned looks = MIN(bh__engines_get_count(engines), RATE_SAMPLE_);
-	unsigned n = 0;
+	unsigned sampled = MIN(bh__engines_get_count(engines), RATE_SAMPLE_MAX_);
+	unsigned usable = 0;
 
-	if (f->rated_us && now_us < f->rated_us + RATE_KEPT_US_)
+	if (f->rates_updated_us && now_us < f->rates_updated_us + RATES_VALID_US_)
 		return;
-	f->rated_us = now_us;
+	f->rates_updated_us = now_us;
 	f->tokens_per_us = 0;
 	f->token_us = 0;
-	f->usable = 0;
-	for (unsigned i = 0; i < looks; i++) {
+	f->usable_engines = 0;
+	for (unsigned i = 0; i < sampled; i++) {
 		const BH__Engine *e = bh__engines_get(engines, i);
 		if (!bh__engine_is_usable(e))
 			continue;
 		f->tokens_per_us += e->prefill_tokens_per_us;
 		f->token_us += e->token_us;
-		n++;
+		usable++;
 	}
-	if (!n)
+	if (!usable)
 		return;
-	f->usable = n * bh__engines_get_count(engines) / looks;
-	f->tokens_per_us /= n;
-	f->token_us /= n;
+	f->usable_engines = usable * bh__engines_get_count(engines) / sampled;
+	f->tokens_per_us /= usable;
+	f->token_us /= usable;
 }
 
-/* Returns how many engines may work on long prompts at a time: the share of long work that has arrived of
- * late, with a margin, within the policy's bounds. */
+/* Returns how many engines may process long prompts at the same time: the share of long prompts in the recent
+ * load, plus a margin, within the bounds of the policy. The result is at least 1. */
 unsigned bh__forecast_get_long_cap(const BH__Forecast *f, const BH__Engines *engines,
 								   const BH__Policy *policy)
 {
@@ -63,27 +64,29 @@
 	return MAX(cap, 1);
 }
 
-/* Returns how long a new ask of a lane would wait for the work ahead of it. */
+/* Returns how many microseconds a new request of a lane would wait for the work queued ahead of it; 0 also if
+ * no engine is usable. */
 uint64_t bh__forecast_get_wait_us(BH__Forecast *f, const BH__Engines *engines, const BH__Policy *policy,
 								  const BH__Queue *queue, BH__Lane lane, uint64_t now_us)
 {
 	unsigned servers;
 
-	take_rates_(f, engines, now_us);
-	servers =
-		lane == BH__LANE_LONG ? MIN(bh__forecast_get_long_cap(f, engines, policy), f->usable) : f->usable;
+	update_rates_(f, engines, now_us);
+	servers = lane == BH__LANE_LONG ? MIN(bh__forecast_get_long_cap(f, engines, policy), f->usable_engines)
+									: f->usable_engines;
 	if (!servers)
 		return 0;
 	return (uint64_t)((double)bh__queue_get_work(queue, lane) / (f->tokens_per_us * servers));
 }
 
-/* Returns the time from grant to last token. */
+/* Returns the expected microseconds from the grant to the last token of the answer. The prefill counts as 0
+ * if no engine is usable. */
 uint64_t bh__forecast_get_run_us(BH__Forecast *f, const BH__Engines *engines, const BH__Ask *ask,
 								 uint64_t now_us)
 {
 	uint64_t prefill_us;
 
-	take_rates_(f, engines, now_us);
-	prefill_us = f->usable ? (uint64_t)((double)ask->prompt_tokens / f->tokens_per_us) : 0;
+	update_rates_(f, engines, now_us);
+	prefill_us = f->usable_engines ? (uint64_t)((double)ask->prompt_tokens / f->tokens_per_us) : 0;
 	return prefill_us + ask->max_tokens * f->token_us;
 }
--- a/src/libbayhoist/include/private/forecast.h
+++ b/src/libbayhoist/include/private/forecast.h
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What a pool expects: how fast its engines are, how its work divides between short and long, how long an ask
- * will wait and run. */
+/* Forecasts for a pool: the speed of its engines, the split of its load between short and long prompts, and
+ * how long a request is going to wait and run. */
 #ifndef BAYHOIST_PRIVATE_FORECAST_H
 #define BAYHOIST_PRIVATE_FORECAST_H
 
@@ -8,12 +8,12 @@
 #include "queue.h"
 
 typedef struct {
-	double mix_tokens[BH__LANE_COUNT]; /* arriving work, decaying */
-	uint64_t mix_updated_us;
-	uint64_t rated_us; /* when the rates below were taken; 0: never */
-	double tokens_per_us;
-	unsigned usable;
-	uint64_t token_us;
+	double mix_tokens[BH__LANE_COUNT]; /* arrived tokens by lane, with exponential decay */
+	uint64_t mix_updated_us;           /* time of the last arrival; 0: none yet */
+	uint64_t rates_updated_us;         /* time at which the fields below were computed; 0: never */
+	double tokens_per_us;              /* mean prefill rate of a usable engine */
+	unsigned usable_engines;           /* estimated number of usable engines in the pool */
+	uint64_t token_us;                 /* mean time of a usable engine for one output token */
 } BH__Forecast;
 
 void bh__forecast_note_arrival(BH__Forecast *f, BH__Lane lane, uint64_t tokens, uint64_t now_us);
--- a/src/libbayhoist/include/private/pass_clock.h
+++ b/src/libbayhoist/include/private/pass_clock.h
@@ -1,39 +1,40 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Where an engine stands in what it reads, reckoned from what it was given and from the answers that begin.
+/* An estimate of how far an engine has got with its prefill work, derived from the work that it was given and
+ * from the times at which answers begin.
  *
- * An engine reads parts for other engines' prompts before its own, and of those the one that came last; its
- * own prompts in the order in which they came. While it writes no stream it reads in steps of a few
- * milliseconds, so a new part overtakes the older ones at once. While it writes one, it works in passes: a
- * pass reads all that has come before it began, and every stream pauses until it is over. When a pass begins
- * is told by answers that begin, and by streams that have paused for a long one; between these the clock runs
- * free, and is off by half a pass or so. */
+ * An engine prefills parts for other engines before its own prompts. Of the parts for other engines it takes
+ * the newest first; its own prompts it takes in the order of arrival. Without streams the engine prefills in
+ * steps of a few milliseconds, so a new part overtakes older ones at once. With streams it works in
+ * iterations: an iteration prefills all that arrived before its start, and every stream pauses until it ends.
+ * The clock takes the start of an iteration from answers that begin and from streams that have paused for a
+ * long iteration. Between such observations the clock runs free, with an error of about half an iteration. */
 #ifndef BAYHOIST_PRIVATE_PASS_CLOCK_H
 #define BAYHOIST_PRIVATE_PASS_CLOCK_H
 
 #include <glib.h>
 #include "bayhoist/engine_model.h"
 
-/* A prompt, or a part of one, that an engine has still to read. */
+/* A prompt, or a part of one, that an engine has still to prefill. */
 typedef struct {
 	uint64_t grant_id;
-	uint64_t added_us;
-	uint64_t due_us; /* by when it is to be read, with some time to spare */
-	uint64_t aim_us; /* when its request's first event is late */
-	double value;    /* of an answer in time */
-	double left_ms;  /* at pace 1 */
-	bool helps;      /* it is read for another engine */
+	uint64_t added_us; /* time at which the part was sent to the engine */
+	uint64_t due_us;   /* time by which the prefill should end; leaves slack before `aim_us` */
+	uint64_t aim_us;   /* time after which the first event of the request is late */
+	double value;      /* utility of an answer in time */
+	double left_ms;    /* prefill time that is left, at slowdown factor 1 */
+	bool helps;        /* whether the engine prefills the part as a helper of another engine */
 } BH__PassPart;
 
 typedef struct {
-	GArray *parts;    /* BH__PassPart, in the order in which they came */
-	GArray *done;     /* the same, reckoned to have been read in passes of the last seconds */
-	unsigned in_pass; /* of those, the first so many are read in the pass under way */
-	uint64_t pass_begun_us;
-	uint64_t pass_end_us; /* of the pass under way; 0: there are no passes, since no stream is written */
-	unsigned streams;
-	uint64_t context_tokens; /* of the streams together */
-	uint64_t seen_us;        /* when it was last moved on */
-	double pace;             /* how much slower than its model the engine was seen to be; 1: as fast */
+	GArray *parts;     /* BH__PassPart still to prefill, in the order of arrival */
+	GArray *prefilled; /* BH__PassPart whose prefill is estimated to have ended in recent iterations */
+	unsigned iteration_part_count; /* the first elements of `parts`, prefilled in the current iteration */
+	uint64_t pass_begun_us;        /* start of the current iteration */
+	uint64_t pass_end_us;    /* predicted end of the current iteration; 0: no streams, so no iterations */
+	unsigned streams;        /* running streams */
+	uint64_t context_tokens; /* context of all streams together */
+	uint64_t advanced_us;    /* time up to which the estimate has been advanced */
+	double pace;             /* observed slowdown factor against the model; 1: as fast as the model */
 } BH__PassClock;
 
 void bh__pass_clock_init(BH__PassClock *c);
@@ -41,20 +42,21 @@
 void bh__pass_clock_advance(BH__PassClock *c, const BH__EngineModel *m, uint64_t now_us);
 double bh__pass_clock_get_backlog_ms(const BH__PassClock *c);
 double bh__pass_clock_get_pass_left_ms(const BH__PassClock *c, uint64_t now_us);
-double bh__pass_clock_next_pass_ms(const BH__PassClock *c, const BH__EngineModel *m, double more_ms);
-uint64_t bh__pass_clock_predict_read(const BH__PassClock *c, const BH__EngineModel *m, double read_ms,
-									 bool helps, uint64_t now_us);
+double bh__pass_clock_next_pass_ms(const BH__PassClock *c, const BH__EngineModel *m, double extra_ms);
+uint64_t bh__pass_clock_predict_read(const BH__PassClock *c, const BH__EngineModel *m, double prefill_ms,
+									 bool for_helper, uint64_t now_us);
 double bh__pass_clock_get_room_ms(const BH__PassClock *c, const BH__EngineModel *m, uint64_t now_us);
-double bh__pass_clock_get_damage(const BH__PassClock *c, double read_ms, uint64_t now_us);
+double bh__pass_clock_get_damage(const BH__PassClock *c, double prefill_ms, uint64_t now_us);
 void bh__pass_clock_add_part(BH__PassClock *c, const BH__PassPart *part, uint64_t now_us);
 void bh__pass_clock_drop_part(BH__PassClock *c, uint64_t grant_id, uint64_t now_us);
-void bh__pass_clock_note_read(BH__PassClock *c, const BH__EngineModel *m, uint64_t grant_id, bool alone,
+void bh__pass_clock_note_read(BH__PassClock *c, const BH__EngineModel *m, uint64_t grant_id,
+							  bool without_helpers, uint64_t now_us);
+void bh__pass_clock_note_pass(BH__PassClock *c, const BH__EngineModel *m, uint64_t duration_us,
 							  uint64_t now_us);
-void bh__pass_clock_note_pass(BH__PassClock *c, const BH__EngineModel *m, uint64_t took_us, uint64_t now_us);
 void bh__pass_clock_begin_stream(BH__PassClock *c, const BH__EngineModel *m, uint64_t context_tokens,
 								 uint64_t now_us);
 void bh__pass_clock_end_stream(BH__PassClock *c, uint64_t context_tokens);
-void bh__pass_clock_set_pace(BH__PassClock *c, double pace, uint64_t now_us);
+void bh__pass_clock_set_pace(BH__PassClock *c, double factor, uint64_t now_us);
 void bh__pass_clock_observe(BH__PassClock *c, double expected_ms, double observed_ms);
 
 #endif
--- a/src/libbayhoist/include/private/prefix_index.h
+++ b/src/libbayhoist/include/private/prefix_index.h
@@ -1,11 +1,12 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Which engines of a pool hold which prompt prefixes in their cache, as far as their events tell. */
+/* Index of the prompt prefixes that the engines of a pool hold in their caches, built from the cache events
+ * of the engines. */
 #ifndef BAYHOIST_PRIVATE_PREFIX_INDEX_H
 #define BAYHOIST_PRIVATE_PREFIX_INDEX_H
 
 #include "bayhoist/hash.h"
 
-#define BH__PREFIX_HOLDERS 4 /* engines remembered for one prefix */
+#define BH__PREFIX_HOLDERS 4 /* maximum of engines recorded for one prefix */
 
 typedef struct BH__PrefixIndex BH__PrefixIndex;
 
