--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/sending.c
@@ -189,7 +189,7 @@
  * The first pause of an answer to a prompt that several engines read is not one pass (see placement.c). */
 static void note_pause_(Call *c, uint64_t pause_us)
 {
-	double pass_ms = bh__engine_model_pass_ms(&c->service->engine, 1, 0);
+	double pass_ms = bh__engine_model_iteration_ms(&c->service->engine, 1, 0);
 	bool is_pass = c->pauses++ > 0 || c->place.grant.member_count < 2;
 
 	c->longest_pause_us = MAX(c->longest_pause_us, pause_us);
--- a/src/bench/bench_placement.c
+++ b/src/bench/bench_placement.c
@@ -223,12 +223,12 @@
 	bh__engine_model_init(m);
 	m->slots = site->slots;
 	m->kv_tokens = 450000;
-	m->steps_per_pass = site->tokens_per_event;
+	m->steps_per_iteration = site->tokens_per_event;
 	m->tokens_per_step = 2048;
 	m->step_ms = 0.925;
 	m->per_stream_ms = 0.00483;
 	m->per_kilotoken_ms = 0.00254;
-	m->read_tokens_per_ms = 256;
+	m->prefill_tokens_per_ms = 256;
 	m->per_megapair_ms = 0.0917;
 	m->hop_ms = 0.1;
 }
--- a/src/bench/pass_engine.c
+++ b/src/bench/pass_engine.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The model engines. A pass plays `steps_per_pass` token steps if a stream is written, else one; beside each
- * step at most `tokens_per_step` prompt tokens are read: parts for other engines' requests first, and of
+/* The model engines. A pass plays `steps_per_iteration` token steps if a stream is written, else one; beside
+ * each step at most `tokens_per_step` prompt tokens are read: parts for other engines' requests first, and of
  * those the one that came last; then the engine's own, in the order in which they came (measured on the
  * users' engines, see docs/MEASUREMENTS.md). What a pass has read, and the events that it has written, come
  * out at its end. */
@@ -70,8 +70,8 @@
 /* Gives a request to engines, of which the first is to answer. */
 void pass_fleet_start(PassFleet *f, PassRequest *r, const unsigned *engine, unsigned count, uint64_t now_us)
 {
-	double pairs_ms = bh__engine_model_read_ms(&f->model, r->prompt_tokens, count) -
-					  (double)r->prompt_tokens / f->model.read_tokens_per_ms / count;
+	double pairs_ms = bh__engine_model_prefill_ms(&f->model, r->prompt_tokens, count) -
+					  (double)r->prompt_tokens / f->model.prefill_tokens_per_ms / count;
 
 	r->home = engine[0];
 	r->parts = count;
@@ -93,7 +93,7 @@
 static void begin_pass_(PassFleet *f, PassEngine *e, uint64_t now_us)
 {
 	unsigned streams = e->streams->len;
-	unsigned steps = streams ? f->model.steps_per_pass : 1;
+	unsigned steps = streams ? f->model.steps_per_iteration : 1;
 	uint64_t context = 0;
 	double ms;
 
@@ -122,7 +122,7 @@
 			if (p->own != (own == 1) || p->done)
 				continue;
 			pairs_ms = p->pairs_ms * take / p->tokens;
-			ms += take / f->model.read_tokens_per_ms + pairs_ms;
+			ms += take / f->model.prefill_tokens_per_ms + pairs_ms;
 			budget -= take;
 			p->pairs_ms -= pairs_ms;
 			p->tokens -= take;
@@ -207,7 +207,7 @@
 
 	for (guint i = 0; i < e->parts->len; i++) {
 		const Part *p = g_ptr_array_index(e->parts, i);
-		ms += p->tokens / f->model.read_tokens_per_ms + p->pairs_ms;
+		ms += p->tokens / f->model.prefill_tokens_per_ms + p->pairs_ms;
 	}
 	return ms;
 }
--- a/src/libbayhoist/include/private/placement.h
+++ b/src/libbayhoist/include/private/placement.h
@@ -6,7 +6,7 @@
 
 #include "bayhoist/endpoint_rate.h"
 #include "bayhoist/message.h"
-#include "pass_clock.h"
+#include "iteration_clock.h"
 
 /* Share of an answer's utility that is lost when the answer is late: three quarters on all of the users'
  * routes. */
@@ -34,7 +34,7 @@
 	BH__EndpointRate rate;               /* limits on the requests that the engine may be granted */
 	uint64_t inspected_us;               /* time of the last request for its report; 0: none */
 	uint64_t last_stream_started_us;     /* time of the latest first event from this engine; 0: none */
-	BH__PassClock clock;
+	BH__IterationClock clock;
 	GPtrArray *primaries;  /* BH__PlacedRequest whose answers this engine generates */
 	unsigned helper_parts; /* parts being prefilled for other engines */
 	uint64_t kv_used_tokens;
--- a/src/libbayhoist/pass_clock.c
+++ b/src/libbayhoist/iteration_clock.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
 /* Estimates the progress of an engine's prefill work. */
-#include "pass_clock.h"
+#include "iteration_clock.h"
 
 #include <glib.h>
 #include <string.h>
@@ -30,42 +30,42 @@
 #define ITERATION_FACTOR_MAX_ 1.3
 #define ITERATION_EXTRA_MS_ 50.0
 
-static void prefill_steps_(BH__PassClock *c, double ms);
-static void begin_iteration_(BH__PassClock *c, const BH__EngineModel *m, uint64_t now_us);
-static void end_iteration_(BH__PassClock *c);
-static void mark_prefilled_(BH__PassClock *c, unsigned count);
-static void remove_prefilled_(BH__PassClock *c, uint64_t grant_id);
-static double max_iteration_ms_(const BH__PassClock *c, const BH__EngineModel *m);
-static double iteration_headroom_ms_(const BH__PassClock *c, const BH__EngineModel *m, uint64_t now_us);
-static double first_iteration_ms_(const BH__PassClock *c, const BH__EngineModel *m);
-static double slack_ms_(const BH__PassPart *p, double end_ms, uint64_t now_us);
-static double target_slack_ms_(const BH__PassPart *p, double end_ms, uint64_t now_us);
-static int find_part_(const BH__PassClock *c, uint64_t grant_id);
-static int next_part_(const BH__PassClock *c, int before);
-static void remove_helper_parts_(BH__PassClock *c, uint64_t before_us);
-
-void bh__pass_clock_init(BH__PassClock *c)
+static void prefill_steps_(BH__IterationClock *c, double ms);
+static void begin_iteration_(BH__IterationClock *c, const BH__EngineModel *m, uint64_t now_us);
+static void end_iteration_(BH__IterationClock *c);
+static void mark_prefilled_(BH__IterationClock *c, unsigned count);
+static void remove_prefilled_(BH__IterationClock *c, uint64_t grant_id);
+static double max_iteration_ms_(const BH__IterationClock *c, const BH__EngineModel *m);
+static double iteration_headroom_ms_(const BH__IterationClock *c, const BH__EngineModel *m, uint64_t now_us);
+static double first_iteration_ms_(const BH__IterationClock *c, const BH__EngineModel *m);
+static double slack_ms_(const BH__PrefillPart *p, double end_ms, uint64_t now_us);
+static double target_slack_ms_(const BH__PrefillPart *p, double end_ms, uint64_t now_us);
+static int find_part_(const BH__IterationClock *c, uint64_t grant_id);
+static int next_part_(const BH__IterationClock *c, int before);
+static void remove_helper_parts_(BH__IterationClock *c, uint64_t before_us);
+
+void bh__iteration_clock_init(BH__IterationClock *c)
 {
 	memset(c, 0, sizeof *c);
-	c->parts = g_array_new(FALSE, FALSE, sizeof(BH__PassPart));
-	c->prefilled = g_array_new(FALSE, FALSE, sizeof(BH__PassPart));
+	c->parts = g_array_new(FALSE, FALSE, sizeof(BH__PrefillPart));
+	c->prefilled = g_array_new(FALSE, FALSE, sizeof(BH__PrefillPart));
 	c->slowdown = 1;
 }
 
-void bh__pass_clock_clear(BH__PassClock *c)
+void bh__iteration_clock_clear(BH__IterationClock *c)
 {
 	g_array_unref(c->parts);
 	g_array_unref(c->prefilled);
 }
 
-static BH__PassPart *part_(const BH__PassClock *c, int index)
+static BH__PrefillPart *part_(const BH__IterationClock *c, int index)
 {
-	return &g_array_index(c->parts, BH__PassPart, index);
+	return &g_array_index(c->parts, BH__PrefillPart, index);
 }
 
 /* Advances the estimate to `now_us`: the slowdown factor decays towards 1, and prefill steps or iterations
  * that end by then complete. Does nothing if `now_us` is not later than the last call. */
-void bh__pass_clock_advance(BH__PassClock *c, const BH__EngineModel *m, uint64_t now_us)
+void bh__iteration_clock_advance(BH__IterationClock *c, const BH__EngineModel *m, uint64_t now_us)
 {
 	uint64_t last_us = c->advanced_us;
 
@@ -78,20 +78,20 @@
 		prefill_steps_(c, (double)(now_us - last_us) / 1000 / c->slowdown);
 		return;
 	}
-	for (unsigned i = 0; c->pass_end_us <= now_us && i < ITERATIONS_PER_ADVANCE_MAX_; i++) {
+	for (unsigned i = 0; c->iteration_end_us <= now_us && i < ITERATIONS_PER_ADVANCE_MAX_; i++) {
 		end_iteration_(c);
-		begin_iteration_(c, m, c->pass_end_us);
+		begin_iteration_(c, m, c->iteration_end_us);
 	}
 }
 
 /* Prefills for `ms` milliseconds at slowdown factor 1, in the engine's order, and removes the parts that are
  * complete. */
-static void prefill_steps_(BH__PassClock *c, double ms)
+static void prefill_steps_(BH__IterationClock *c, double ms)
 {
 	int i;
 
 	while (ms > 0 && (i = next_part_(c, -1)) >= 0) {
-		BH__PassPart *p = part_(c, i);
+		BH__PrefillPart *p = part_(c, i);
 		double spent_ms = MIN(p->left_ms, ms);
 		ms -= spent_ms;
 		p->left_ms -= spent_ms;
@@ -102,37 +102,37 @@
 
 /* Returns the index of the part that the engine prefills after the part `before`, or of the first one if
  * `before` is -1. Returns -1 if there is none. */
-static int next_part_(const BH__PassClock *c, int before)
+static int next_part_(const BH__IterationClock *c, int before)
 {
 	int n = (int)c->parts->len;
-	bool in_helper_parts = before < 0 || part_(c, before)->helps;
+	bool in_helper_parts = before < 0 || part_(c, before)->for_helper;
 
 	for (int i = before < 0 ? n - 1 : before - 1; in_helper_parts && i >= 0; i--)
-		if (part_(c, i)->helps)
+		if (part_(c, i)->for_helper)
 			return i;
 	for (int i = in_helper_parts ? 0 : before + 1; i < n; i++)
-		if (!part_(c, i)->helps)
+		if (!part_(c, i)->for_helper)
 			return i;
 	return -1;
 }
 
 /* Begins an iteration at `now_us` that prefills all parts that have reached the engine by then. */
-static void begin_iteration_(BH__PassClock *c, const BH__EngineModel *m, uint64_t now_us)
+static void begin_iteration_(BH__IterationClock *c, const BH__EngineModel *m, uint64_t now_us)
 {
-	double ms = bh__engine_model_pass_ms(m, c->streams, c->context_tokens);
+	double ms = bh__engine_model_iteration_ms(m, c->streams, c->context_tokens);
 
 	for (c->iteration_part_count = 0; c->iteration_part_count < c->parts->len; c->iteration_part_count++) {
-		const BH__PassPart *p = part_(c, (int)c->iteration_part_count);
+		const BH__PrefillPart *p = part_(c, (int)c->iteration_part_count);
 		if (p->added_us + DELIVERY_US_ > now_us)
 			break;
 		ms += p->left_ms;
 	}
-	c->pass_begun_us = now_us;
-	c->pass_end_us = now_us + (uint64_t)(c->slowdown * 1000 * ms) + 1;
+	c->iteration_start_us = now_us;
+	c->iteration_end_us = now_us + (uint64_t)(c->slowdown * 1000 * ms) + 1;
 }
 
 /* Ends the current iteration: its parts count as prefilled. */
-static void end_iteration_(BH__PassClock *c)
+static void end_iteration_(BH__IterationClock *c)
 {
 	mark_prefilled_(c, c->iteration_part_count);
 	c->iteration_part_count = 0;
@@ -140,22 +140,23 @@
 
 /* Moves the first `count` parts to `prefilled`. A later observation may return them to `parts`; those older
  * than PREFILLED_RETENTION_US_ are removed for good. */
-static void mark_prefilled_(BH__PassClock *c, unsigned count)
+static void mark_prefilled_(BH__IterationClock *c, unsigned count)
 {
 	if (!count)
 		return;
 	g_array_append_vals(c->prefilled, c->parts->data, count);
 	g_array_remove_range(c->parts, 0, count);
 	while (c->prefilled->len &&
-		   g_array_index(c->prefilled, BH__PassPart, 0).added_us + PREFILLED_RETENTION_US_ < c->advanced_us)
+		   g_array_index(c->prefilled, BH__PrefillPart, 0).added_us + PREFILLED_RETENTION_US_ <
+			   c->advanced_us)
 		g_array_remove_index(c->prefilled, 0);
 }
 
 /* Removes a part from `prefilled`, once the end of its prefill is certain or no longer matters. */
-static void remove_prefilled_(BH__PassClock *c, uint64_t grant_id)
+static void remove_prefilled_(BH__IterationClock *c, uint64_t grant_id)
 {
 	for (guint i = c->prefilled->len; i-- > 0;)
-		if (g_array_index(c->prefilled, BH__PassPart, i).grant_id == grant_id)
+		if (g_array_index(c->prefilled, BH__PrefillPart, i).grant_id == grant_id)
 			g_array_remove_index(c->prefilled, i);
 }
 
@@ -164,8 +165,8 @@
  * prefilled. Without this correction, parts granted for two iterations end up in one, which accounted for two
  * thirds of the long pauses of streams (64 of 99 in a simulated day of 60 engines). An iteration longer than
  * the granted work explains is ignored. */
-void bh__pass_clock_note_pass(BH__PassClock *c, const BH__EngineModel *m, uint64_t duration_us,
-							  uint64_t now_us)
+void bh__iteration_clock_note_iteration(BH__IterationClock *c, const BH__EngineModel *m, uint64_t duration_us,
+										uint64_t now_us)
 {
 	uint64_t start_us = now_us - MIN(now_us, duration_us);
 	unsigned prefilled_count = 0;
@@ -174,7 +175,7 @@
 		(double)duration_us / 1000 > max_iteration_ms_(c, m) * ITERATION_FACTOR_MAX_ + ITERATION_EXTRA_MS_)
 		return;
 	while (c->prefilled->len) {
-		BH__PassPart last = g_array_index(c->prefilled, BH__PassPart, c->prefilled->len - 1);
+		BH__PrefillPart last = g_array_index(c->prefilled, BH__PrefillPart, c->prefilled->len - 1);
 		if (last.added_us + DELIVERY_US_ <= start_us)
 			break;
 		g_array_prepend_val(c->parts, last);
@@ -188,19 +189,19 @@
 }
 
 /* Returns the longest duration in ms that a recent iteration can have had with the work granted for it. */
-static double max_iteration_ms_(const BH__PassClock *c, const BH__EngineModel *m)
+static double max_iteration_ms_(const BH__IterationClock *c, const BH__EngineModel *m)
 {
-	double ms = bh__engine_model_pass_ms(m, c->streams, c->context_tokens);
+	double ms = bh__engine_model_iteration_ms(m, c->streams, c->context_tokens);
 
 	for (guint i = 0; i < c->parts->len; i++)
 		ms += part_(c, (int)i)->left_ms;
 	for (guint i = 0; i < c->prefilled->len; i++)
-		ms += g_array_index(c->prefilled, BH__PassPart, i).left_ms;
+		ms += g_array_index(c->prefilled, BH__PrefillPart, i).left_ms;
 	return ms * c->slowdown;
 }
 
 /* Returns the prefill time in ms, at slowdown factor 1, of the parts outside the current iteration. */
-double bh__pass_clock_get_backlog_ms(const BH__PassClock *c)
+double bh__iteration_clock_get_backlog_ms(const BH__IterationClock *c)
 {
 	double ms = 0;
 
@@ -210,36 +211,37 @@
 }
 
 /* Returns the time in ms until the predicted end of the current iteration; 0 also if there is none. */
-double bh__pass_clock_get_pass_left_ms(const BH__PassClock *c, uint64_t now_us)
+double bh__iteration_clock_get_iteration_left_ms(const BH__IterationClock *c, uint64_t now_us)
 {
-	return c->pass_end_us > now_us ? (double)(c->pass_end_us - now_us) / 1000 : 0;
+	return c->iteration_end_us > now_us ? (double)(c->iteration_end_us - now_us) / 1000 : 0;
 }
 
 /* Returns the predicted duration in ms of the next iteration with `extra_ms` of prefill added to its work.
  * Without streams this is the iteration that begins with the first stream. */
-double bh__pass_clock_next_pass_ms(const BH__PassClock *c, const BH__EngineModel *m, double extra_ms)
+double bh__iteration_clock_predict_next_iteration_ms(const BH__IterationClock *c, const BH__EngineModel *m,
+													 double extra_ms)
 {
-	return c->slowdown * (bh__engine_model_pass_ms(m, c->streams, c->context_tokens) +
-						  bh__pass_clock_get_backlog_ms(c) + extra_ms);
+	return c->slowdown * (bh__engine_model_iteration_ms(m, c->streams, c->context_tokens) +
+						  bh__iteration_clock_get_backlog_ms(c) + extra_ms);
 }
 
 /* Returns the predicted time at which the prefill of a part would end that is granted now and takes
  * `prefill_ms` at slowdown factor 1. */
-uint64_t bh__pass_clock_predict_read(const BH__PassClock *c, const BH__EngineModel *m, double prefill_ms,
-									 bool for_helper, uint64_t now_us)
+uint64_t bh__iteration_clock_predict_prefill_end(const BH__IterationClock *c, const BH__EngineModel *m,
+												 double prefill_ms, bool for_helper, uint64_t now_us)
 {
-	uint64_t start_us = MAX(c->pass_end_us, now_us + IDLE_START_DELAY_US_);
+	uint64_t start_us = MAX(c->iteration_end_us, now_us + IDLE_START_DELAY_US_);
 	double ms;
 
-	if (c->streams && c->pass_end_us < now_us + DELIVERY_US_) /* the part misses the next iteration */
-		ms = bh__pass_clock_next_pass_ms(c, m, 0) +
-			 c->slowdown * (bh__engine_model_pass_ms(m, c->streams, c->context_tokens) + prefill_ms);
+	if (c->streams && c->iteration_end_us < now_us + DELIVERY_US_) /* the part misses the next iteration */
+		ms = bh__iteration_clock_predict_next_iteration_ms(c, m, 0) +
+			 c->slowdown * (bh__engine_model_iteration_ms(m, c->streams, c->context_tokens) + prefill_ms);
 	else if (c->streams)
-		ms = bh__pass_clock_next_pass_ms(c, m, prefill_ms);
+		ms = bh__iteration_clock_predict_next_iteration_ms(c, m, prefill_ms);
 	else if (for_helper)
 		ms = c->slowdown * (m->step_ms + prefill_ms);
 	else
-		ms = c->slowdown * (m->step_ms + bh__pass_clock_get_backlog_ms(c) + prefill_ms) +
+		ms = c->slowdown * (m->step_ms + bh__iteration_clock_get_backlog_ms(c) + prefill_ms) +
 			 first_iteration_ms_(c, m);
 	return start_us + (uint64_t)(ms * 1000);
 }
@@ -247,18 +249,19 @@
 /* Returns the time in ms of the decode steps in the first iteration, if an answer begins before the engine
  * has prefilled all waiting parts: with its first event the engine switches from steps to iterations. Returns
  * 0 if no prompt of the engine itself waits. */
-static double first_iteration_ms_(const BH__PassClock *c, const BH__EngineModel *m)
+static double first_iteration_ms_(const BH__IterationClock *c, const BH__EngineModel *m)
 {
 	for (guint i = 0; i < c->parts->len; i++)
-		if (!part_(c, (int)i)->helps)
-			return c->slowdown * bh__engine_model_pass_ms(m, 1, 0);
+		if (!part_(c, (int)i)->for_helper)
+			return c->slowdown * bh__engine_model_iteration_ms(m, 1, 0);
 	return 0;
 }
 
 /* Returns the headroom: the longest prefill in ms, at slowdown factor 1, that a new part may take without
  * making a waiting prompt late and without overtaking one that is not much longer. Returns G_MAXDOUBLE if
  * nothing limits it. */
-double bh__pass_clock_get_room_ms(const BH__PassClock *c, const BH__EngineModel *m, uint64_t now_us)
+double bh__iteration_clock_get_headroom_ms(const BH__IterationClock *c, const BH__EngineModel *m,
+										   uint64_t now_us)
 {
 	double headroom_ms = G_MAXDOUBLE;
 	double end_ms = 0;
@@ -266,7 +269,7 @@
 	if (c->streams)
 		return iteration_headroom_ms_(c, m, now_us);
 	for (int i = next_part_(c, -1); i >= 0; i = next_part_(c, i)) {
-		const BH__PassPart *p = part_(c, i);
+		const BH__PrefillPart *p = part_(c, i);
 		double slack_ms;
 		end_ms += p->left_ms * c->slowdown;
 		if (p->left_ms <= OVERTAKE_IGNORED_MS_)
@@ -280,25 +283,26 @@
 }
 
 /* Returns the slack in ms of a part whose prefill ends `end_ms` from now: up to `due_us` if it ends before
- * that time, otherwise up to `aim_us`. A negative result means that the request is late. */
-static double slack_ms_(const BH__PassPart *p, double end_ms, uint64_t now_us)
+ * that time, otherwise up to `target_us`. A negative result means that the request is late. */
+static double slack_ms_(const BH__PrefillPart *p, double end_ms, uint64_t now_us)
 {
 	double due_ms = ((double)p->due_us - (double)now_us) / 1000 - end_ms;
 
 	return due_ms > 0 ? due_ms : target_slack_ms_(p, end_ms, now_us);
 }
 
-/* Returns the time in ms from the end of a part's prefill, `end_ms` from now, to `aim_us`. */
-static double target_slack_ms_(const BH__PassPart *p, double end_ms, uint64_t now_us)
+/* Returns the time in ms from the end of a part's prefill, `end_ms` from now, to `target_us`. */
+static double target_slack_ms_(const BH__PrefillPart *p, double end_ms, uint64_t now_us)
 {
-	return ((double)p->aim_us - (double)now_us) / 1000 - end_ms;
+	return ((double)p->target_us - (double)now_us) / 1000 - end_ms;
 }
 
 /* Returns the headroom in ms of an engine with streams. Such an engine prefills all waiting parts in its next
  * iteration. */
-static double iteration_headroom_ms_(const BH__PassClock *c, const BH__EngineModel *m, uint64_t now_us)
+static double iteration_headroom_ms_(const BH__IterationClock *c, const BH__EngineModel *m, uint64_t now_us)
 {
-	double end_ms = bh__pass_clock_get_pass_left_ms(c, now_us) + bh__pass_clock_next_pass_ms(c, m, 0);
+	double end_ms = bh__iteration_clock_get_iteration_left_ms(c, now_us) +
+					bh__iteration_clock_predict_next_iteration_ms(c, m, 0);
 	double headroom_ms = G_MAXDOUBLE;
 
 	for (guint i = c->iteration_part_count; i < c->parts->len; i++) {
@@ -311,26 +315,26 @@
 
 /* Returns the delay cost of a new part of `prefill_ms` at slowdown factor 1: the utility of the waiting
  * prompts that it would make late by overtaking their parts. */
-double bh__pass_clock_get_damage(const BH__PassClock *c, double prefill_ms, uint64_t now_us)
+double bh__iteration_clock_get_delay_cost(const BH__IterationClock *c, double prefill_ms, uint64_t now_us)
 {
 	double end_ms = 0;
 	double delay_cost = 0;
 
 	for (int i = next_part_(c, -1); i >= 0; i = next_part_(c, i)) {
-		const BH__PassPart *p = part_(c, i);
+		const BH__PrefillPart *p = part_(c, i);
 		double slack_ms;
 		end_ms += p->left_ms * c->slowdown;
 		slack_ms = target_slack_ms_(p, end_ms, now_us);
 		if (slack_ms > 0 && slack_ms < prefill_ms * c->slowdown)
-			delay_cost += p->value;
+			delay_cost += p->utility;
 	}
 	return delay_cost;
 }
 
 /* Adds a part that is sent to the engine at `now_us`. The caller must have advanced the clock before. */
-void bh__pass_clock_add_part(BH__PassClock *c, const BH__PassPart *part, uint64_t now_us)
+void bh__iteration_clock_add_part(BH__IterationClock *c, const BH__PrefillPart *part, uint64_t now_us)
 {
-	BH__PassPart p = *part;
+	BH__PrefillPart p = *part;
 
 	p.added_us = now_us;
 	c->advanced_us = MAX(c->advanced_us, now_us);
@@ -338,7 +342,7 @@
 }
 
 /* Returns the index of the part of a grant in `parts`; -1: there is none. */
-static int find_part_(const BH__PassClock *c, uint64_t grant_id)
+static int find_part_(const BH__IterationClock *c, uint64_t grant_id)
 {
 	for (guint i = 0; i < c->parts->len; i++)
 		if (part_(c, (int)i)->grant_id == grant_id)
@@ -348,7 +352,7 @@
 
 /* Removes the part of a request that was abandoned before the end of its prefill. If the current iteration
  * includes the part, the iteration ends earlier by the time left for the part. */
-void bh__pass_clock_drop_part(BH__PassClock *c, uint64_t grant_id, uint64_t now_us)
+void bh__iteration_clock_remove_part(BH__IterationClock *c, uint64_t grant_id, uint64_t now_us)
 {
 	int i = find_part_(c, grant_id);
 	uint64_t left_us;
@@ -359,16 +363,17 @@
 	left_us = (uint64_t)(part_(c, i)->left_ms * c->slowdown * 1000);
 	if ((unsigned)i < c->iteration_part_count) {
 		c->iteration_part_count--;
-		c->pass_end_us = c->pass_end_us > now_us + left_us ? c->pass_end_us - left_us : now_us + 1;
+		c->iteration_end_us =
+			c->iteration_end_us > now_us + left_us ? c->iteration_end_us - left_us : now_us + 1;
 	}
 	g_array_remove_index(c->parts, (guint)i);
 }
 
 /* Removes the parts for other engines that were added before `before_us`: their prefill has ended. */
-static void remove_helper_parts_(BH__PassClock *c, uint64_t before_us)
+static void remove_helper_parts_(BH__IterationClock *c, uint64_t before_us)
 {
 	for (guint i = c->parts->len; i-- > 0;)
-		if (part_(c, (int)i)->helps && part_(c, (int)i)->added_us < before_us)
+		if (part_(c, (int)i)->for_helper && part_(c, (int)i)->added_us < before_us)
 			g_array_remove_index(c->parts, i);
 }
 
@@ -377,8 +382,8 @@
  * ended, or, without streams, all parts for other engines were prefilled before it. Otherwise the answer
  * began when the last of its engines finished, which shows nothing about the iterations of the other engines
  * or of the answering engine. */
-void bh__pass_clock_note_read(BH__PassClock *c, const BH__EngineModel *m, uint64_t grant_id,
-							  bool without_helpers, uint64_t now_us)
+void bh__iteration_clock_note_prefilled(BH__IterationClock *c, const BH__EngineModel *m, uint64_t grant_id,
+										bool without_helpers, uint64_t now_us)
 {
 	int i = find_part_(c, grant_id);
 	bool in_iteration = i >= 0 && (unsigned)i < c->iteration_part_count;
@@ -398,8 +403,8 @@
 }
 
 /* Adds a stream, whose answer begins at `now_us`. The first stream starts the iterations. */
-void bh__pass_clock_begin_stream(BH__PassClock *c, const BH__EngineModel *m, uint64_t context_tokens,
-								 uint64_t now_us)
+void bh__iteration_clock_begin_stream(BH__IterationClock *c, const BH__EngineModel *m,
+									  uint64_t context_tokens, uint64_t now_us)
 {
 	c->streams++;
 	c->context_tokens += context_tokens;
@@ -408,19 +413,19 @@
 }
 
 /* Removes a stream. Iterations end with the last one. */
-void bh__pass_clock_end_stream(BH__PassClock *c, uint64_t context_tokens)
+void bh__iteration_clock_end_stream(BH__IterationClock *c, uint64_t context_tokens)
 {
 	c->streams -= c->streams > 0;
 	c->context_tokens -= MIN(c->context_tokens, context_tokens);
 	if (c->streams)
 		return;
 	end_iteration_(c); /* the last event of a stream marks the end of an iteration */
-	c->pass_end_us = 0;
+	c->iteration_end_us = 0;
 }
 
 /* Updates the slowdown factor from a duration predicted at slowdown factor 1 and the duration observed.
  * Ignores predictions shorter than OBSERVATION_MIN_MS_. */
-void bh__pass_clock_observe(BH__PassClock *c, double expected_ms, double observed_ms)
+void bh__iteration_clock_observe(BH__IterationClock *c, double expected_ms, double observed_ms)
 {
 	double ratio;
 
@@ -431,7 +436,7 @@
 }
 
 /* Sets the slowdown factor to the one that the engine reports about itself, within the bounds. */
-void bh__pass_clock_set_pace(BH__PassClock *c, double factor, uint64_t now_us)
+void bh__iteration_clock_set_slowdown(BH__IterationClock *c, double factor, uint64_t now_us)
 {
 	c->slowdown = CLAMP(factor, SLOWDOWN_MIN_, SLOWDOWN_MAX_);
 	c->advanced_us = MAX(c->advanced_us, now_us);
--- a/src/libbayhoist/placement.c
+++ b/src/libbayhoist/placement.c
@@ -144,7 +144,7 @@
 				(avoid &&
 				 (contains_(ask->avoid, ask->avoid_count, e->endpoint_id) || is_overdue_(e, now_us))))
 				continue;
-			bh__pass_clock_advance(&e->clock, m, now_us);
+			bh__iteration_clock_advance(&e->clock, m, now_us);
 			out[count].order = i;
 			init_candidate_(m, e, now_us, &out[count++]);
 		}
@@ -192,9 +192,9 @@
 	c->reserved = false;
 	c->delay_cost = 0;
 	c->limit_ms = LOOSE_LIMIT_MS_;
-	c->next_iteration_ms = bh__pass_clock_next_pass_ms(&e->clock, m, 0);
-	c->pending_ms = c->next_iteration_ms + bh__pass_clock_get_pass_left_ms(&e->clock, now_us);
-	c->overtake_headroom_ms = bh__pass_clock_get_room_ms(&e->clock, m, now_us);
+	c->next_iteration_ms = bh__iteration_clock_predict_next_iteration_ms(&e->clock, m, 0);
+	c->pending_ms = c->next_iteration_ms + bh__iteration_clock_get_iteration_left_ms(&e->clock, now_us);
+	c->overtake_headroom_ms = bh__iteration_clock_get_headroom_ms(&e->clock, m, now_us);
 	c->slots_free = e->primaries->len < m->slots ? m->slots - e->primaries->len : 0;
 	c->helper_slots_free = e->helper_parts < m->slots ? m->slots - e->helper_parts : 0;
 	c->limited = bh__endpoint_rate_is_limited(&e->rate, now_us);
@@ -219,14 +219,14 @@
  * streams. */
 static double first_gap_used_ms_(const Candidate_ *c, const BH__PlacedRequest *r, uint64_t now_us)
 {
-	const BH__PassClock *clock = &c->engine->clock;
-	double left_ms = bh__pass_clock_get_pass_left_ms(clock, now_us);
+	const BH__IterationClock *clock = &c->engine->clock;
+	double left_ms = bh__iteration_clock_get_iteration_left_ms(clock, now_us);
 
 	if (r->grant.member_count < 2 || !clock->streams)
 		return 0;
 	if (!r->grant.writes)
 		return left_ms;
-	if (!r->stream_started_us || r->stream_started_us < clock->pass_begun_us)
+	if (!r->stream_started_us || r->stream_started_us < clock->iteration_start_us)
 		return 0;
 	return left_ms + (double)(now_us - r->stream_started_us) / 1000;
 }
@@ -289,7 +289,7 @@
 
 	qsort(c, count, sizeof *c, compare_for_tight_);
 	for (unsigned parts = 1; parts <= MIN(max_parts_(ask, count), TIGHT_PARTS_MAX_); parts++) {
-		double part_ms = bh__engine_model_read_ms(m, ask->prompt_tokens, parts);
+		double part_ms = bh__engine_model_prefill_ms(m, ask->prompt_tokens, parts);
 		Candidate_ chosen[TIGHT_PARTS_MAX_];
 		unsigned n = 0;
 		for (unsigned i = 0; i < count && n < parts; i++) {
@@ -362,12 +362,13 @@
 	uint64_t best_us = 0;
 
 	for (unsigned parts = max_parts_(ask, count); parts > 0; parts--) {
-		double part_ms = bh__engine_model_read_ms(m, ask->prompt_tokens, parts);
+		double part_ms = bh__engine_model_prefill_ms(m, ask->prompt_tokens, parts);
 		uint64_t end_us = 0;
 		if (part_ms > part_headroom_ms_(&c[parts - 1]) || (parts > 1 && !c[parts - 1].helper_slots_free))
 			continue;
 		for (unsigned i = 0; i < parts; i++)
-			end_us = MAX(end_us, bh__pass_clock_predict_read(&c[i].engine->clock, m, part_ms, i > 0, now_us));
+			end_us = MAX(end_us, bh__iteration_clock_predict_prefill_end(&c[i].engine->clock, m, part_ms,
+																		 i > 0, now_us));
 		if (!best || (double)(end_us - now_us) < (double)(best_us - now_us) * FEWER_PARTS_TIME_RATIO_) {
 			best = parts;
 			best_us = end_us;
@@ -438,7 +439,7 @@
 							 const BH__Ask *ask, uint64_t now_us, BH__Placement *out)
 {
 	uint64_t need_tokens = ask->prompt_tokens + ask->max_tokens;
-	double part_ms = bh__engine_model_read_ms(m, ask->prompt_tokens, parts);
+	double part_ms = bh__engine_model_prefill_ms(m, ask->prompt_tokens, parts);
 
 	if (!choose_primary_(c, count, ask, part_ms) || !helpers_have_slots_(c, parts) ||
 		!split_memory_(c, parts, need_tokens, out))
@@ -447,13 +448,14 @@
 	out->prefill_end_us = 0;
 	out->delay_cost = 0;
 	for (unsigned i = 0; i < parts; i++) {
-		uint64_t end_us = bh__pass_clock_predict_read(&c[i].engine->clock, m, part_ms, i > 0, now_us);
+		uint64_t end_us =
+			bh__iteration_clock_predict_prefill_end(&c[i].engine->clock, m, part_ms, i > 0, now_us);
 		out->engine[i] = c[i].engine;
 		out->prefill_end_us = MAX(out->prefill_end_us, end_us);
 		if (c[i].next_iteration_ms + part_ms * c[i].engine->clock.slowdown > c[i].limit_ms)
 			out->delay_cost += c[i].delay_cost;
 		out->delay_cost +=
-			BH__LATE_UTILITY_LOSS * bh__pass_clock_get_damage(&c[i].engine->clock, part_ms, now_us);
+			BH__LATE_UTILITY_LOSS * bh__iteration_clock_get_delay_cost(&c[i].engine->clock, part_ms, now_us);
 	}
 	return true;
 }
--- a/src/libbayhoist/planner.c
+++ b/src/libbayhoist/planner.c
@@ -105,7 +105,7 @@
 	BH__IterationEngine *e = engine;
 
 	g_ptr_array_unref(e->primaries);
-	bh__pass_clock_clear(&e->clock);
+	bh__iteration_clock_clear(&e->clock);
 	g_free(e);
 }
 
@@ -123,7 +123,7 @@
 	e->endpoint_id = endpoint_id;
 	e->incarnation = incarnation;
 	e->primaries = g_ptr_array_new();
-	bh__pass_clock_init(&e->clock);
+	bh__iteration_clock_init(&e->clock);
 	g_ptr_array_add(p->engines, e);
 	g_hash_table_insert(p->by_id, &e->endpoint_id, e);
 	g_ptr_array_sort_with_data(p->engines, compare_order_, &p->order_seed);
@@ -187,8 +187,8 @@
 				g->member[i].endpoint_id = BH__NO_ENDPOINT;
 	}
 	g_ptr_array_set_size(e->primaries, 0);
-	bh__pass_clock_clear(&e->clock);
-	bh__pass_clock_init(&e->clock);
+	bh__iteration_clock_clear(&e->clock);
+	bh__iteration_clock_init(&e->clock);
 	e->incarnation = incarnation;
 	e->helper_parts = 0;
 	e->kv_used_tokens = 0;
@@ -278,7 +278,7 @@
 
 	for (unsigned i = 0; i < g->member_count; i++)
 		prompt_tokens += g->member[i].token_count;
-	part_ms = bh__engine_model_read_ms(&p->model, prompt_tokens, g->member_count) * prefill_left_share_(g);
+	part_ms = bh__engine_model_prefill_ms(&p->model, prompt_tokens, g->member_count) * prefill_left_share_(g);
 	r->grant = *g;
 	r->grant.age_us = 0;
 	r->granted_us = now_us - MIN(now_us, g->age_us);
@@ -289,16 +289,16 @@
 		r->tokens += g->member[i].kv_bytes;
 		if (!e)
 			continue;
-		bh__pass_clock_advance(&e->clock, &p->model, now_us);
+		bh__iteration_clock_advance(&e->clock, &p->model, now_us);
 		if (!g->writes)
-			bh__pass_clock_add_part(&e->clock,
-									&(BH__PassPart){.grant_id = g->grant_id,
-													.due_us = due_us,
-													.aim_us = first_event_target_us,
-													.value = r->answer_utility,
-													.left_ms = part_ms,
-													.helps = i > 0},
-									now_us);
+			bh__iteration_clock_add_part(&e->clock,
+										 &(BH__PrefillPart){.grant_id = g->grant_id,
+															.due_us = due_us,
+															.target_us = first_event_target_us,
+															.utility = r->answer_utility,
+															.left_ms = part_ms,
+															.for_helper = i > 0},
+										 now_us);
 		e->kv_used_tokens += g->member[i].kv_bytes;
 		if (i == 0)
 			g_ptr_array_add(e->primaries, r);
@@ -320,7 +320,7 @@
 
 	r->grant.writes = true;
 	if (e)
-		bh__pass_clock_begin_stream(&e->clock, &p->model, r->tokens, now_us);
+		bh__iteration_clock_begin_stream(&e->clock, &p->model, r->tokens, now_us);
 }
 
 /* Removes a grant from the ledger and frees it. With `prefill_continues` its engines go on prefilling the
@@ -337,8 +337,8 @@
 		if (i > 0)
 			continue;
 		if (g_ptr_array_remove_fast(e->primaries, r) && r->grant.writes) {
-			bh__pass_clock_advance(&e->clock, &p->model, now_us);
-			bh__pass_clock_end_stream(&e->clock, r->tokens);
+			bh__iteration_clock_advance(&e->clock, &p->model, now_us);
+			bh__iteration_clock_end_stream(&e->clock, r->tokens);
 		}
 	}
 	g_hash_table_remove(p->by_ask, &r->grant.ask_id);
@@ -355,12 +355,12 @@
 			continue;
 		if (i > 0)
 			e->helper_parts -= e->helper_parts > 0;
-		bh__pass_clock_advance(&e->clock, &p->model, now_us);
+		bh__iteration_clock_advance(&e->clock, &p->model, now_us);
 		if (completed)
-			bh__pass_clock_note_read(&e->clock, &p->model, r->grant.grant_id, r->grant.member_count == 1,
-									 now_us);
+			bh__iteration_clock_note_prefilled(&e->clock, &p->model, r->grant.grant_id,
+											   r->grant.member_count == 1, now_us);
 		else
-			bh__pass_clock_drop_part(&e->clock, r->grant.grant_id, now_us);
+			bh__iteration_clock_remove_part(&e->clock, r->grant.grant_id, now_us);
 	}
 }
 
@@ -390,8 +390,8 @@
 
 	if (!e)
 		return;
-	bh__pass_clock_advance(&e->clock, &p->model, now_us);
-	bh__pass_clock_set_pace(&e->clock, slowdown, now_us);
+	bh__iteration_clock_advance(&e->clock, &p->model, now_us);
+	bh__iteration_clock_set_slowdown(&e->clock, slowdown, now_us);
 }
 
 /* Inspects all engines of a request whose first event, after `took_ms`, came much later than predicted. */
@@ -426,7 +426,7 @@
 		e->failures = 0;
 		e->last_stream_started_us = now_us;
 		if (r->grant.member_count == 1)
-			bh__pass_clock_observe(&e->clock, r->expected_ms, (double)(now_us - r->granted_us) / 1000);
+			bh__iteration_clock_observe(&e->clock, r->expected_ms, (double)(now_us - r->granted_us) / 1000);
 	}
 	bh__planner_place_waiting(p, now_us);
 }
@@ -440,8 +440,8 @@
 
 	if (!e)
 		return;
-	bh__pass_clock_advance(&e->clock, &p->model, now_us);
-	bh__pass_clock_note_pass(&e->clock, &p->model, iteration_us, now_us);
+	bh__iteration_clock_advance(&e->clock, &p->model, now_us);
+	bh__iteration_clock_note_iteration(&e->clock, &p->model, iteration_us, now_us);
 	bh__planner_place_waiting(p, now_us);
 }
 
@@ -586,7 +586,7 @@
 							   .streams = e->clock.streams,
 							   .helper_parts = e->helper_parts,
 							   .kv_used_tokens = e->kv_used_tokens,
-							   .prefill_left_ms = bh__pass_clock_get_backlog_ms(&e->clock),
+							   .prefill_left_ms = bh__iteration_clock_get_backlog_ms(&e->clock),
 							   .slowdown = e->clock.slowdown,
 							   .usable = !e->leaving};
 }
--- a/src/libbayhoist/planner_queue.c
+++ b/src/libbayhoist/planner_queue.c
@@ -219,7 +219,7 @@
 	p->long_work_ms *= exp(-(double)(now_us - p->long_work_us) / LONG_WORK_DECAY_US_);
 	p->long_work_us = now_us;
 	if (!bh__placement_is_tight(ask->event_gap_us))
-		p->long_work_ms += bh__engine_model_read_ms(&p->model, ask->prompt_tokens, 1);
+		p->long_work_ms += bh__engine_model_prefill_ms(&p->model, ask->prompt_tokens, 1);
 }
 
 /* Returns how many milliseconds the prompt of a late request may be prefilled on an engine that generates no
@@ -239,7 +239,7 @@
 static bool may_delay_others_(const BH__Planner *p, const BH__Ask *ask, uint64_t waited_us)
 {
 	bool tight = bh__placement_is_tight(ask->event_gap_us);
-	double prefill_ms = bh__engine_model_read_ms(&p->model, ask->prompt_tokens, BH__GRANT_MEMBERS_MAX);
+	double prefill_ms = bh__engine_model_prefill_ms(&p->model, ask->prompt_tokens, BH__GRANT_MEMBERS_MAX);
 	double target_us = (double)first_event_target_us_(ask);
 	double latest_us = tight ? target_us : target_us - (prefill_ms + DELAY_LEAD_MS_) * 1000;
 
@@ -297,7 +297,7 @@
 	for (guint i = 0; i < p->engines->len; i++) {
 		const BH__IterationEngine *e = g_ptr_array_index(p->engines, i);
 		if (!e->leaving)
-			soonest_us = MIN(soonest_us, MAX(e->clock.pass_end_us, e->ejected_until_us));
+			soonest_us = MIN(soonest_us, MAX(e->clock.iteration_end_us, e->ejected_until_us));
 	}
 	return soonest_us;
 }
@@ -357,7 +357,7 @@
  * number of engines. */
 static bool is_late_(const BH__Planner *p, const BH__WaitingAsk *w, uint64_t now_us)
 {
-	double min_ms = bh__engine_model_read_ms(&p->model, w->ask.prompt_tokens, BH__GRANT_MEMBERS_MAX);
+	double min_ms = bh__engine_model_prefill_ms(&p->model, w->ask.prompt_tokens, BH__GRANT_MEMBERS_MAX);
 
 	return now_us + (uint64_t)(min_ms * 1000) >= w->arrived_us + first_event_target_us_(&w->ask);
 }
--- a/src/test_libbayhoist/test_planner.c
+++ b/src/test_libbayhoist/test_planner.c
@@ -9,7 +9,7 @@
 #include <math.h>
 #include <string.h>
 #include "bayhoist/planner.h"
-#include "pass_clock.h"
+#include "iteration_clock.h"
 
 #define ENGINES 18
 /* Prompt sizes in tokens. */
@@ -71,11 +71,11 @@
 
 	bh__engine_model_init(&m);
 	m.kv_tokens = 450000;
-	m.steps_per_pass = 46;
+	m.steps_per_iteration = 46;
 	m.step_ms = 0.925;
 	m.per_stream_ms = 0.005;
 	m.per_kilotoken_ms = 0.0025;
-	m.read_tokens_per_ms = 256;
+	m.prefill_tokens_per_ms = 256;
 	m.per_megapair_ms = 0.09;
 	return m;
 }
@@ -271,7 +271,7 @@
 			continue;
 		assert_int_equal(e.kv_used_tokens, 0);
 		assert_int_equal(e.primaries, 0);
-		assert_int_equal(e.helps, 0);
+		assert_int_equal(e.helper_parts, 0);
 		assert_true(e.prefill_left_ms == 0);
 	}
 	assert_int_equal(others, 1);
@@ -382,7 +382,7 @@
 		BH__PlannerEngine e;
 		bh__planner_get_engine(f->planner, i, &e);
 		assert_int_equal(e.primaries, 0);
-		assert_int_equal(e.helps, 0);
+		assert_int_equal(e.helper_parts, 0);
 		assert_int_equal(e.streams, 0);
 		assert_int_equal(e.kv_used_tokens, 0);
 	}
@@ -473,7 +473,7 @@
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(BH__Grant));
 	BH__Ask ask = ask_(a, 100000);
 	BH__EngineModel m = model_();
-	double complete_ms = bh__engine_model_read_ms(&m, 100000, 1);
+	double complete_ms = bh__engine_model_prefill_ms(&m, 100000, 1);
 	uint64_t half_us;
 
 	(void)state;
@@ -543,17 +543,17 @@
 	assert_true(distinct >= NODES / 2);
 }
 
-static void add_part_(BH__PassClock *c, uint64_t grant_id, double ms, bool for_helper, uint64_t due_us,
+static void add_part_(BH__IterationClock *c, uint64_t grant_id, double ms, bool for_helper, uint64_t due_us,
 					  uint64_t now_us)
 {
-	BH__PassPart p = {.grant_id = grant_id,
-					  .due_us = due_us,
-					  .aim_us = due_us,
-					  .value = 1,
-					  .left_ms = ms,
-					  .helps = for_helper};
-
-	bh__pass_clock_add_part(c, &p, now_us);
+	BH__PrefillPart p = {.grant_id = grant_id,
+						 .due_us = due_us,
+						 .target_us = due_us,
+						 .utility = 1,
+						 .left_ms = ms,
+						 .for_helper = for_helper};
+
+	bh__iteration_clock_add_part(c, &p, now_us);
 }
 
 /* A prefill that ends earlier than predicted removes its own part from the backlog, once, and leaves the
@@ -562,42 +562,42 @@
 static void an_early_prefill_affects_its_own_part_only_(void **state)
 {
 	BH__EngineModel m = model_();
-	BH__PassClock c;
+	BH__IterationClock c;
 
 	(void)state;
-	bh__pass_clock_init(&c);
+	bh__iteration_clock_init(&c);
 	add_part_(&c, 1, 500, true, 3000 * MS, 0);
 	add_part_(&c, 2, 100, true, 3000 * MS, 0);
 	add_part_(&c, 3, 100, true, 3000 * MS, 0);
-	bh__pass_clock_advance(&c, &m, 50 * MS);
-	assert_true(bh__pass_clock_get_backlog_ms(&c) == 650);
-	bh__pass_clock_note_read(&c, &m, 3, false, 50 * MS);
-	assert_true(bh__pass_clock_get_backlog_ms(&c) == 600);
-	bh__pass_clock_note_read(&c, &m, 3, false, 50 * MS);
-	assert_true(bh__pass_clock_get_backlog_ms(&c) == 600);
-	bh__pass_clock_note_read(&c, &m, 2, false, 50 * MS);
-	assert_true(bh__pass_clock_get_backlog_ms(&c) == 500);
-	bh__pass_clock_clear(&c);
+	bh__iteration_clock_advance(&c, &m, 50 * MS);
+	assert_true(bh__iteration_clock_get_backlog_ms(&c) == 650);
+	bh__iteration_clock_note_prefilled(&c, &m, 3, false, 50 * MS);
+	assert_true(bh__iteration_clock_get_backlog_ms(&c) == 600);
+	bh__iteration_clock_note_prefilled(&c, &m, 3, false, 50 * MS);
+	assert_true(bh__iteration_clock_get_backlog_ms(&c) == 600);
+	bh__iteration_clock_note_prefilled(&c, &m, 2, false, 50 * MS);
+	assert_true(bh__iteration_clock_get_backlog_ms(&c) == 500);
+	bh__iteration_clock_clear(&c);
 }
 
 /* A part granted just before an iteration begins reaches the engine too late for it. */
 static void a_part_just_granted_misses_the_next_iteration_(void **state)
 {
 	BH__EngineModel m = model_();
-	BH__PassClock c;
+	BH__IterationClock c;
 
 	(void)state;
-	bh__pass_clock_init(&c);
-	bh__pass_clock_begin_stream(&c, &m, 1000, 0); /* an iteration of 43 ms */
-	bh__pass_clock_advance(&c, &m, 38 * MS);
-	assert_true(bh__pass_clock_predict_read(&c, &m, 100, true, 38 * MS) > 220 * MS);
+	bh__iteration_clock_init(&c);
+	bh__iteration_clock_begin_stream(&c, &m, 1000, 0); /* an iteration of 43 ms */
+	bh__iteration_clock_advance(&c, &m, 38 * MS);
+	assert_true(bh__iteration_clock_predict_prefill_end(&c, &m, 100, true, 38 * MS) > 220 * MS);
 	add_part_(&c, 1, 100, true, 3000 * MS, 38 * MS);
-	bh__pass_clock_advance(&c, &m, 60 * MS);
-	assert_true(bh__pass_clock_get_backlog_ms(&c) == 100);
-	bh__pass_clock_advance(&c, &m, 90 * MS);
-	assert_true(bh__pass_clock_get_backlog_ms(&c) == 0);
-	assert_true(bh__pass_clock_get_pass_left_ms(&c, 90 * MS) > 130);
-	bh__pass_clock_clear(&c);
+	bh__iteration_clock_advance(&c, &m, 60 * MS);
+	assert_true(bh__iteration_clock_get_backlog_ms(&c) == 100);
+	bh__iteration_clock_advance(&c, &m, 90 * MS);
+	assert_true(bh__iteration_clock_get_backlog_ms(&c) == 0);
+	assert_true(bh__iteration_clock_get_iteration_left_ms(&c, 90 * MS) > 130);
+	bh__iteration_clock_clear(&c);
 }
 
 /* The answer to a prompt that several engines prefill begins when the last of them finishes. It does not end
@@ -605,18 +605,18 @@
 static void an_answer_with_helpers_ends_no_iteration_(void **state)
 {
 	BH__EngineModel m = model_();
-	BH__PassClock c;
+	BH__IterationClock c;
 
 	(void)state;
-	bh__pass_clock_init(&c);
-	bh__pass_clock_begin_stream(&c, &m, 1000, 0);
+	bh__iteration_clock_init(&c);
+	bh__iteration_clock_begin_stream(&c, &m, 1000, 0);
 	add_part_(&c, 1, 100, true, 3000 * MS, 10 * MS);
 	add_part_(&c, 2, 300, true, 3000 * MS, 10 * MS);
-	bh__pass_clock_advance(&c, &m, 200 * MS);
-	bh__pass_clock_note_read(&c, &m, 1, false, 200 * MS);
-	assert_true(bh__pass_clock_get_pass_left_ms(&c, 200 * MS) > 250);
-	assert_true(bh__pass_clock_get_backlog_ms(&c) == 0);
-	bh__pass_clock_clear(&c);
+	bh__iteration_clock_advance(&c, &m, 200 * MS);
+	bh__iteration_clock_note_prefilled(&c, &m, 1, false, 200 * MS);
+	assert_true(bh__iteration_clock_get_iteration_left_ms(&c, 200 * MS) > 250);
+	assert_true(bh__iteration_clock_get_backlog_ms(&c) == 0);
+	bh__iteration_clock_clear(&c);
 }
 
 /* The pause of a stream shows when an iteration ended and how long it was. Parts that arrived after its start
@@ -624,32 +624,33 @@
 static void an_observed_iteration_corrects_the_clock_(void **state)
 {
 	BH__EngineModel m = model_();
-	BH__PassClock c;
+	BH__IterationClock c;
 
 	(void)state;
-	bh__pass_clock_init(&c);
-	bh__pass_clock_begin_stream(&c, &m, 1000, 0);
+	bh__iteration_clock_init(&c);
+	bh__iteration_clock_begin_stream(&c, &m, 1000, 0);
 	add_part_(&c, 1, 200, true, 3000 * MS, 10 * MS);
-	bh__pass_clock_advance(&c, &m, 290 * MS); /* predicted prefill: from 43 ms to 286 ms */
+	bh__iteration_clock_advance(&c, &m, 290 * MS); /* predicted prefill: from 43 ms to 286 ms */
 	add_part_(&c, 2, 150, true, 3000 * MS, 290 * MS);
-	bh__pass_clock_advance(&c, &m, 330 * MS);
-	bh__pass_clock_note_pass(&c, &m, 288 * MS, 330 * MS);
-	assert_true(bh__pass_clock_get_backlog_ms(&c) == 0);
-	assert_true(fabs(bh__pass_clock_get_pass_left_ms(&c, 330 * MS) - 193) < 2);
-	bh__pass_clock_note_pass(&c, &m, 5000 * MS, 340 * MS); /* ignored: a stalled connection of the caller */
-	assert_true(fabs(bh__pass_clock_get_pass_left_ms(&c, 340 * MS) - 183) < 2);
-	bh__pass_clock_clear(&c);
-
-	bh__pass_clock_init(&c);
-	bh__pass_clock_begin_stream(&c, &m, 1000, 0);
+	bh__iteration_clock_advance(&c, &m, 330 * MS);
+	bh__iteration_clock_note_iteration(&c, &m, 288 * MS, 330 * MS);
+	assert_true(bh__iteration_clock_get_backlog_ms(&c) == 0);
+	assert_true(fabs(bh__iteration_clock_get_iteration_left_ms(&c, 330 * MS) - 193) < 2);
+	bh__iteration_clock_note_iteration(&c, &m, 5000 * MS,
+									   340 * MS); /* ignored: a stalled connection of the caller */
+	assert_true(fabs(bh__iteration_clock_get_iteration_left_ms(&c, 340 * MS) - 183) < 2);
+	bh__iteration_clock_clear(&c);
+
+	bh__iteration_clock_init(&c);
+	bh__iteration_clock_begin_stream(&c, &m, 1000, 0);
 	add_part_(&c, 1, 200, true, 3000 * MS, 10 * MS);
-	bh__pass_clock_advance(&c, &m, 300 * MS);
-	bh__pass_clock_note_pass(&c, &m, 290 * MS, 300 * MS); /* it began before the part arrived */
-	assert_true(fabs(bh__pass_clock_get_pass_left_ms(&c, 300 * MS) - 243) < 2);
-	bh__pass_clock_note_read(&c, &m, 1, false, 310 * MS);
-	bh__pass_clock_note_pass(&c, &m, 100 * MS, 320 * MS);
-	assert_true(bh__pass_clock_get_pass_left_ms(&c, 320 * MS) < 45);
-	bh__pass_clock_clear(&c);
+	bh__iteration_clock_advance(&c, &m, 300 * MS);
+	bh__iteration_clock_note_iteration(&c, &m, 290 * MS, 300 * MS); /* it began before the part arrived */
+	assert_true(fabs(bh__iteration_clock_get_iteration_left_ms(&c, 300 * MS) - 243) < 2);
+	bh__iteration_clock_note_prefilled(&c, &m, 1, false, 310 * MS);
+	bh__iteration_clock_note_iteration(&c, &m, 100 * MS, 320 * MS);
+	assert_true(bh__iteration_clock_get_iteration_left_ms(&c, 320 * MS) < 45);
+	bh__iteration_clock_clear(&c);
 }
 
 /* An engine with streams takes part in the prefill of an answer with helpers. The first pause of that answer
@@ -696,10 +697,10 @@
 static void the_newest_helper_part_is_prefilled_first_(void **state)
 {
 	BH__EngineModel m = model_();
-	BH__PassClock c;
+	BH__IterationClock c;
 
 	(void)state;
-	bh__pass_clock_init(&c);
+	bh__iteration_clock_init(&c);
 	add_part_(&c, 1, 50, false, 0, 0);
 	add_part_(&c, 2, 50, false, 0, 0);
 	add_part_(&c, 3, 50, true, 0, 0);
@@ -707,11 +708,11 @@
 	for (unsigned left = 4; left > 0; left--) {
 		static const uint64_t Last[] = {0, 2, 2, 3, 4};
 		assert_int_equal(c.parts->len, left);
-		assert_int_equal(g_array_index(c.parts, BH__PassPart, left - 1).grant_id, Last[left]);
-		bh__pass_clock_advance(&c, &m, (uint64_t)(5 - left) * 50 * MS);
+		assert_int_equal(g_array_index(c.parts, BH__PrefillPart, left - 1).grant_id, Last[left]);
+		bh__iteration_clock_advance(&c, &m, (uint64_t)(5 - left) * 50 * MS);
 	}
 	assert_int_equal(c.parts->len, 0);
-	bh__pass_clock_clear(&c);
+	bh__iteration_clock_clear(&c);
 }
 
 /* A prefill takes the time of its tokens and attention pairs, plus that of the steps into which it is
@@ -720,13 +721,13 @@
 {
 	BH__EngineModel m = model_();
 	double steps = 100000.0 / m.tokens_per_step;
-	double tokens_ms = 100000 / m.read_tokens_per_ms;
+	double tokens_ms = 100000 / m.prefill_tokens_per_ms;
 	double pairs_ms = 100000.0 * 100000 / 2 / 1e6 * m.per_megapair_ms;
-	double prefill_ms = bh__engine_model_read_ms(&m, 100000, 1);
+	double prefill_ms = bh__engine_model_prefill_ms(&m, 100000, 1);
 
 	(void)state;
 	assert_true(fabs(prefill_ms - (tokens_ms + pairs_ms + steps * m.step_ms)) < 0.001);
-	assert_true(fabs(bh__engine_model_read_ms(&m, 100000, 4) - prefill_ms / 4) < 0.001);
+	assert_true(fabs(bh__engine_model_prefill_ms(&m, 100000, 4) - prefill_ms / 4) < 0.001);
 }
 
 /* Without streams, the predicted prefill of a part for another engine starts at once, and that of an own
@@ -734,39 +735,39 @@
 static void predictions_follow_the_prefill_order_(void **state)
 {
 	BH__EngineModel m = model_();
-	BH__PassClock c;
+	BH__IterationClock c;
 
 	(void)state;
-	bh__pass_clock_init(&c);
+	bh__iteration_clock_init(&c);
 	add_part_(&c, 1, 500, true, 0, 0);
-	assert_true(bh__pass_clock_predict_read(&c, &m, 100, true, 0) < 110 * MS);
-	assert_true(bh__pass_clock_predict_read(&c, &m, 100, false, 0) > 600 * MS);
-	bh__pass_clock_begin_stream(&c, &m, 1000, 0);
-	assert_true(bh__pass_clock_predict_read(&c, &m, 100, true, 0) > 600 * MS);
-	bh__pass_clock_clear(&c);
+	assert_true(bh__iteration_clock_predict_prefill_end(&c, &m, 100, true, 0) < 110 * MS);
+	assert_true(bh__iteration_clock_predict_prefill_end(&c, &m, 100, false, 0) > 600 * MS);
+	bh__iteration_clock_begin_stream(&c, &m, 1000, 0);
+	assert_true(bh__iteration_clock_predict_prefill_end(&c, &m, 100, true, 0) > 600 * MS);
+	bh__iteration_clock_clear(&c);
 }
 
 /* A part may overtake others only if it is much shorter and makes none of them late. */
 static void a_part_overtakes_only_parts_with_enough_slack_(void **state)
 {
 	BH__EngineModel m = model_();
-	BH__PassClock c;
+	BH__IterationClock c;
 
 	(void)state;
-	bh__pass_clock_init(&c);
-	assert_true(bh__pass_clock_get_room_ms(&c, &m, 0) > 1e6);
+	bh__iteration_clock_init(&c);
+	assert_true(bh__iteration_clock_get_headroom_ms(&c, &m, 0) > 1e6);
 	add_part_(&c, 1, 400, true, 3000 * MS, 0);
-	assert_true(bh__pass_clock_get_room_ms(&c, &m, 0) < 300);
-	assert_true(bh__pass_clock_get_room_ms(&c, &m, 0) > 50);
+	assert_true(bh__iteration_clock_get_headroom_ms(&c, &m, 0) < 300);
+	assert_true(bh__iteration_clock_get_headroom_ms(&c, &m, 0) > 50);
 	/* in time with a slack of 430 ms; that of the first part is 2200 ms */
 	add_part_(&c, 2, 400, true, 830 * MS, 0);
 	/* in time with a slack of 850 ms, which leaves 30 ms for the second part */
 	add_part_(&c, 3, 400, true, 1250 * MS, 0);
-	assert_true(bh__pass_clock_get_room_ms(&c, &m, 0) <= 31);
-	assert_true(bh__pass_clock_get_damage(&c, 20, 0) == 0);
-	assert_true(bh__pass_clock_get_damage(&c, 40, 0) == 1);
-	assert_true(bh__pass_clock_get_damage(&c, 5000, 0) == 3);
-	bh__pass_clock_clear(&c);
+	assert_true(bh__iteration_clock_get_headroom_ms(&c, &m, 0) <= 31);
+	assert_true(bh__iteration_clock_get_delay_cost(&c, 20, 0) == 0);
+	assert_true(bh__iteration_clock_get_delay_cost(&c, 40, 0) == 1);
+	assert_true(bh__iteration_clock_get_delay_cost(&c, 5000, 0) == 3);
+	bh__iteration_clock_clear(&c);
 }
 
 /* A part that is past its due time but can still meet its target limits the headroom like any other. Guards
@@ -775,17 +776,21 @@
 static void a_part_limits_the_headroom_until_its_target_(void **state)
 {
 	BH__EngineModel m = model_();
-	BH__PassPart p = {
-		.grant_id = 1, .due_us = 350 * MS, .aim_us = 450 * MS, .value = 1, .left_ms = 400, .helps = true};
-	BH__PassClock c;
+	BH__PrefillPart p = {.grant_id = 1,
+						 .due_us = 350 * MS,
+						 .target_us = 450 * MS,
+						 .utility = 1,
+						 .left_ms = 400,
+						 .for_helper = true};
+	BH__IterationClock c;
 
 	(void)state;
-	bh__pass_clock_init(&c);
-	bh__pass_clock_add_part(&c, &p, 0);
-	assert_true(bh__pass_clock_get_room_ms(&c, &m, 0) <= 51);
-	assert_true(bh__pass_clock_get_damage(&c, 40, 0) == 0);
-	assert_true(bh__pass_clock_get_damage(&c, 60, 0) == 1);
-	bh__pass_clock_clear(&c);
+	bh__iteration_clock_init(&c);
+	bh__iteration_clock_add_part(&c, &p, 0);
+	assert_true(bh__iteration_clock_get_headroom_ms(&c, &m, 0) <= 51);
+	assert_true(bh__iteration_clock_get_delay_cost(&c, 40, 0) == 0);
+	assert_true(bh__iteration_clock_get_delay_cost(&c, 60, 0) == 1);
+	bh__iteration_clock_clear(&c);
 }
 
 /* Sets an advertised limit of `per_s` requests per second on the engines from 1 to `engines`. */
--- a/test/platform/test_decode.c
+++ b/test/platform/test_decode.c
@@ -55,8 +55,8 @@
 	assert_true(once->needs_no_key);
 	s = bh__routing_find_service(r, "llm");
 	assert_true(s->is_engine);
-	assert_int_equal(s->engine.steps_per_pass, 46);
-	assert_true(s->engine.read_tokens_per_ms > 255.9 && s->engine.read_tokens_per_ms < 256.1);
+	assert_int_equal(s->engine.steps_per_iteration, 46);
+	assert_true(s->engine.prefill_tokens_per_ms > 255.9 && s->engine.prefill_tokens_per_ms < 256.1);
 	assert_false(bh__routing_find_service(r, "web")->is_engine);
 	assert_int_equal(bh__routing_get_limits(r)->max_body_bytes, 2000);
 	assert_int_equal(bh__routing_find_owner(r, "k2")->priority, 3);
