--- a/include/bayhoist/exchange.h
+++ b/include/bayhoist/exchange.h
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* One caller's request and the endpoints that it is sent to: whether it may be sent again, and what its
- * caller is told in the end. Decisions alone; the program that uses it does the sending. */
+/* Retry state of one caller's request: decides whether the request may be sent to another endpoint, and how
+ * it ends for the caller. This module only decides; the program that uses it does the I/O. */
 #ifndef BAYHOIST_EXCHANGE_H
 #define BAYHOIST_EXCHANGE_H
 
@@ -8,69 +8,69 @@
 #include "bayhoist/routing.h"
 #include "bayhoist/verdict.h"
 
-/* How one sending ended. */
+/* How one dispatch of a request to an endpoint ended. */
 typedef enum {
-	BH__SENDING_ANSWERED,    /* with a whole answer that is the caller's */
-	BH__SENDING_FAILED,      /* with a whole answer that says the endpoint failed */
-	BH__SENDING_REFUSED,     /* the endpoint says that it did not run the request */
-	BH__SENDING_UNREACHABLE, /* no connection: nothing was sent */
-	BH__SENDING_BROKEN,      /* no whole answer: it may have run */
-	BH__SENDING_STOPPED,     /* we ended it, since it would crash the endpoint: it may have run */
-	BH__SENDING_SILENT,      /* nothing came for so long that we ended it: it may have run */
+	BH__SENDING_ANSWERED,    /* with a complete answer for the caller */
+	BH__SENDING_FAILED,      /* with a complete answer that reports a failure of the endpoint */
+	BH__SENDING_REFUSED,     /* the endpoint reported that it did not run the request */
+	BH__SENDING_UNREACHABLE, /* no connection could be made; nothing was sent */
+	BH__SENDING_BROKEN,      /* the answer is missing or incomplete; the request may have run */
+	BH__SENDING_STOPPED,     /* ended by the gateway to avoid an endpoint crash; may have run */
+	BH__SENDING_SILENT,      /* ended by the gateway: the endpoint is unresponsive; may have run */
 	BH__SENDING_END_COUNT
 } BH__SendingEnd;
 
 extern const char *const BH__SendingEndString[];
 
-/* What is to be done next. */
+/* Next action after a dispatch has ended or the request cannot be dispatched. */
 typedef enum {
-	BH__NEXT_DONE,     /* the caller has its answer */
-	BH__NEXT_PASS_ON,  /* the endpoint's failure goes to the caller as it is */
-	BH__NEXT_SEND,     /* to another endpoint, from the start */
-	BH__NEXT_RESUME,   /* to another endpoint, after the last event that the caller has */
-	BH__NEXT_REFUSE,   /* it did not run: the caller is told so, and when to come back */
-	BH__NEXT_FAIL,     /* it may have run: the caller is told that it failed */
-	BH__NEXT_TIME_OUT, /* the same, because its time is up */
-	BH__NEXT_BREAK_OFF /* its answer has begun and can't be completed: the connection is broken off */
+	BH__NEXT_DONE,     /* nothing: the caller has its answer */
+	BH__NEXT_PASS_ON,  /* relay the endpoint's failure response to the caller unchanged */
+	BH__NEXT_SEND,     /* send to another endpoint, from the start */
+	BH__NEXT_RESUME,   /* continue at another endpoint after the last event delivered to the caller */
+	BH__NEXT_REFUSE,   /* answer that the request did not run, and when to retry */
+	BH__NEXT_FAIL,     /* answer that the request failed; it may have run */
+	BH__NEXT_TIME_OUT, /* answer that the request timed out; it may have run */
+	BH__NEXT_BREAK_OFF /* close the caller's connection: the answer has begun and cannot be completed */
 } BH__Next;
 
 extern const char *const BH__NextString[];
 
-/* The budget of repeated sendings to one service. It is shared by all nodes: each has an even part of what
- * the service allows at once, and a share of what its own requests earn. */
+/* Retry budget of one service, shared by all nodes. Each node may use an even part of the burst that the
+ * service allows, and earns a fraction of a retry with each of its own requests. */
 typedef struct {
-	double level; /* sendings that may be made now */
-	double max;
-	double share; /* earned by each request */
-	uint64_t spent;
-	uint64_t denied;
+	double level;    /* retries left now */
+	double max;      /* upper bound of `level` */
+	double share;    /* retries that each request earns */
+	uint64_t spent;  /* retries taken */
+	uint64_t denied; /* retries denied because too little budget was left */
 } BH__RepeatBudget;
 
-void bh__repeat_budget_init(BH__RepeatBudget *b, double share, double at_once);
-void bh__repeat_budget_set_nodes(BH__RepeatBudget *b, double at_once, unsigned nodes);
+void bh__repeat_budget_init(BH__RepeatBudget *b, double share, double burst);
+void bh__repeat_budget_set_nodes(BH__RepeatBudget *b, double burst, unsigned nodes);
 void bh__repeat_budget_note_request(BH__RepeatBudget *b);
 bool bh__repeat_budget_take(BH__RepeatBudget *b);
 
 typedef struct {
 	BH__Repeat repeat;
-	uint32_t max_attempts;
-	uint64_t deadline_us; /* the caller's or the route's, whichever comes first */
-	uint32_t sendings;    /* that reached an endpoint */
-	uint32_t unreachable; /* that did not */
-	bool may_have_run;
-	bool answer_begun; /* its caller has the head of an answer */
+	uint32_t max_attempts; /* most dispatches that may reach an endpoint */
+	uint64_t deadline_us;  /* the caller's or the route's deadline, whichever is earlier */
+	uint32_t sendings;     /* dispatches that reached an endpoint */
+	uint32_t unreachable;  /* dispatches that found no connection */
+	bool may_have_run;     /* an endpoint may have run the request */
+	bool answer_begun;     /* the caller has received the head of an answer */
 	unsigned tried_count;
-	uint64_t tried[BH__TRIED_MAX]; /* endpoints to keep away from */
+	uint64_t tried[BH__TRIED_MAX]; /* endpoints not to be used again */
 } BH__Exchange;
 
-void bh__exchange_init(BH__Exchange *x, const BH__RouteRule *rule, uint64_t deadline_us);
-void bh__exchange_note_tried(BH__Exchange *x, uint64_t endpoint_id);
-BH__Next bh__exchange_process_end(BH__Exchange *x, BH__SendingEnd end, BH__RepeatBudget *budget,
+void bh__exchange_init(BH__Exchange *state, const BH__RouteRule *rule, uint64_t deadline_us);
+void bh__exchange_note_tried(BH__Exchange *state, uint64_t endpoint_id);
+BH__Next bh__exchange_process_end(BH__Exchange *state, BH__SendingEnd end, BH__RepeatBudget *budget,
 								  uint64_t now_us);
-BH__Next bh__exchange_process_deadline(const BH__Exchange *x);
-BH__Next bh__exchange_process_no_place(const BH__Exchange *x);
-bool bh__exchange_may_send_again(const BH__Exchange *x, uint64_t now_us);
+BH__Next bh__exchange_process_deadline(const BH__Exchange *state);
+BH__Next bh__exchange_process_no_place(const BH__Exchange *state);
+bool bh__exchange_may_send_again(const BH__Exchange *state, uint64_t now_us);
 uint64_t bh__patience_us(const BH__RouteRule *rule, bool is_engine, bool has_begun);
-BH__Verdict bh__exchange_get_verdict(const BH__Exchange *x);
+BH__Verdict bh__exchange_get_verdict(const BH__Exchange *state);
 
 #endif
--- a/include/bayhoist/message.h
+++ b/include/bayhoist/message.h
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Typed messages between nodes and their encoding (msgpack arrays, fields in order). */
+/* Typed messages between nodes and their encoding: a sequence of msgpack values, fields in order. */
 #ifndef BAYHOIST_MESSAGE_H
 #define BAYHOIST_MESSAGE_H
 
@@ -13,14 +13,14 @@
 #include "bayhoist/verdict.h"
 
 #define BH__MESSAGE_VERSION 10
-#define BH__MESSAGE_UPDATES_MAX 8 /* member records that ride on a ping or its answer */
-#define BH__MEMBER_PARTS 64       /* of the table of members, by the highest bits of node ids */
-/* Times that news goes to all, over other nodes each time: one that is silent and not yet known to be keeps
- * it from those whom it was to tell. */
+#define BH__MESSAGE_UPDATES_MAX 8 /* member records piggybacked on a ping or its ack */
+#define BH__MEMBER_PARTS 64       /* partitions of the member table, by the highest bits of the node id */
+/* Number of broadcast trees that each update is sent along. An unresponsive node that is not yet known to be
+ * dead cuts off the subtree below it; another tree reaches the nodes in that subtree over other nodes. */
 #define BH__MESSAGE_NEWS_WAYS 2
-#define BH__MESSAGE_SIGNALS_MAX 32 /* signals of endpoints in one message */
-#define BH__MESSAGE_DIGESTS_MAX 16 /* pool digests that ride on a ping or its answer */
-#define BH__MESSAGE_LIST_MAX 65536 /* longest list that is accepted */
+#define BH__MESSAGE_SIGNALS_MAX 32 /* endpoint signals in one message */
+#define BH__MESSAGE_DIGESTS_MAX 16 /* pool digests piggybacked on a ping or its ack */
+#define BH__MESSAGE_LIST_MAX 65536 /* a message with a longer list is rejected as malformed */
 
 typedef enum {
 	BH__MESSAGE_PING,
@@ -66,7 +66,8 @@
 
 extern const char *const BH__MemberStateString[];
 
-/* What is said of one node. A higher boot id wins, then a higher refutation, then the worse state. */
+/* Membership record of one node. Of two records of a node the one with the higher boot id wins, then the one
+ * with the higher refutation, then the one with the worse state. */
 typedef struct {
 	uint64_t node_id;
 	uint64_t boot_id;
@@ -74,18 +75,18 @@
 	BH__MemberState state;
 	bool leaving;
 	uint64_t config_revision;
-	uint32_t load;     /* live requests */
-	uint32_t capacity; /* what the VM has for duties, in a unit that is the same on all; 0: not known */
+	uint32_t load;     /* requests in progress on the node */
+	uint32_t capacity; /* the VM's capacity for duties, in a unit common to all nodes; 0: unknown */
 	char name[BH__NAME_LEN];
 	char hall[BH__NAME_LEN];
 	char peer_address[BH__ADDRESS_LEN];
 	char caller_address[BH__ADDRESS_LEN];
 } BH__MemberInfo;
 
-/* A pool's state as its scheduler saw it. */
+/* Summary of a pool's state, computed by the node that schedules it. */
 typedef struct {
 	uint64_t pool_id;
-	uint64_t node_id; /* of the scheduler */
+	uint64_t node_id; /* the scheduler */
 	uint64_t sequence;
 	uint64_t short_wait_us;
 	uint64_t long_wait_us;
@@ -95,26 +96,27 @@
 	uint32_t queued;
 } BH__PoolDigest;
 
-/* A request for engine memory. Times are lengths, since nodes share no clock. */
+/* Admission request: asks a pool's scheduler for engine memory. All times are durations, since the nodes have
+ * no common clock. */
 typedef struct {
-	uint64_t ask_id; /* unique for ever: a hash of the asking node's boot id and a count */
+	uint64_t ask_id; /* globally unique: a hash of the requesting node's boot id and a counter */
 	uint64_t pool_id;
 	uint64_t node_id;
 	uint64_t boot_id;
 	uint64_t account_id;
-	uint64_t weight; /* of account and priority together */
+	uint64_t weight; /* scheduling weight, combined from account and priority */
 	uint64_t prompt_tokens;
 	uint64_t max_tokens;
 	uint64_t kv_bytes;
-	uint64_t deadline_us; /* time left */
+	uint64_t deadline_us; /* time left until the request's deadline */
 	uint64_t adapter_id;
-	uint64_t first_event_us; /* time left in which the first event is of full use; 0: not said */
-	uint64_t event_gap_us;   /* longest pause between events that is of full use; 0: not said */
+	uint64_t first_event_us; /* time left until the first event loses utility; 0: not specified */
+	uint64_t event_gap_us;   /* longest gap between events that loses no utility; 0: not specified */
 	uint32_t priority_level;
 	uint8_t avoid_count;
 	uint64_t avoid[BH__AVOID_MAX];
-	/* Engines that have asked the node for backoff. They go with each ask, so that whoever grants it
-	 * knows them, also one that has just become the scheduler. */
+	/* Engines that have asked the requesting node for backoff. Every request carries them, so that a node
+	 * that has just become the scheduler knows them too. */
 	uint8_t backoff_count;
 	uint64_t backoff[BH__BACKOFF_MAX];
 	BH__PrefixChain prefix;
@@ -122,12 +124,13 @@
 
 typedef struct {
 	uint64_t endpoint_id;
-	uint64_t kv_bytes;    /* memory that the grant holds there; tokens where engines count in tokens */
-	uint64_t first_token; /* of the part of the prompt that this engine holds */
+	uint64_t kv_bytes;    /* memory granted on this engine, in tokens if the engine counts in tokens */
+	uint64_t first_token; /* first token of this engine's segment of the prompt */
 	uint64_t token_count;
 } BH__GrantMember;
 
-/* Engine memory granted to an ask; the last member generates the answer. The grant's id is the attempt's. */
+/* Engine memory granted to an admission request. The last member generates the answer. The grant's id is also
+ * the id of the attempt. */
 typedef struct {
 	uint64_t grant_id;
 	uint64_t ask_id;
@@ -136,27 +139,27 @@
 	uint64_t boot_id;
 	uint32_t priority_level;
 	bool is_long;
-	bool tells_progress; /* the scheduler wants to hear when a prefill is done */
-	bool writes;         /* the answer's first event has come */
+	bool tells_progress; /* the scheduler asks for a progress message when a prefill is done */
+	bool writes;         /* the first event of the answer has been received */
 	uint64_t event_gap_us;
-	uint64_t expected_us; /* from the grant to the answer's first event, as foretold; 0: not foretold */
-	uint64_t age_us;      /* since it was given, where it is told of later */
+	uint64_t expected_us; /* predicted time from the grant to the answer's first event; 0: not predicted */
+	uint64_t age_us;      /* time since the grant was given, when it is reported later */
 	uint8_t member_count;
 	BH__GrantMember member[BH__GRANT_MEMBERS_MAX];
 } BH__Grant;
 
 typedef enum {
 	BH__RELEASE_DONE,
-	BH__RELEASE_FAILED,  /* the engine broke off or could not be reached */
-	BH__RELEASE_REFUSED, /* the engine refused for lack of memory */
+	BH__RELEASE_FAILED,  /* the engine broke off the request or was unreachable */
+	BH__RELEASE_REFUSED, /* the engine rejected the request for lack of memory */
 	BH__RELEASE_UNUSED,
-	BH__RELEASE_LOST /* the connection broke before an answer: the engines may go on with the request */
+	BH__RELEASE_LOST /* the connection broke before an answer; the engines may still run the request */
 } BH__ReleaseKind;
 
 typedef struct {
 	uint64_t account_id;
-	double rate; /* tokens a second: wanted in an ask, allowed in a grant */
-	double held; /* rate that the asker holds now */
+	double rate; /* tokens per second: requested in an ask, allowed in a grant */
+	double held; /* tokens per second that the requesting node currently has */
 } BH__QuotaEntry;
 
 typedef struct {
@@ -164,21 +167,23 @@
 	char *text;
 } BH__ConfigChunk;
 
-/* Nodes that whoever gets a message is to tell it: those whose ids lie on an arc of the ring of all ids. */
+/* Ring range that the receiver of a broadcast message forwards it to: the nodes whose ids lie between `first`
+ * and `last` on the ring of node ids. */
 typedef struct {
 	uint64_t first;
 	uint64_t last;
-	uint8_t way; /* news that goes to all more than once goes over other nodes each time */
+	/* broadcast tree that the message travels along, from 0; each tree routes over different nodes */
+	uint8_t way;
 } BH__MessageArc;
 
-/* What a node has heard of a signal that an endpoint gives in its answers. */
+/* What a node knows of a signal that an endpoint sends in its answers. */
 typedef struct {
 	BH__SignalKind kind;
 	uint64_t endpoint_id;
-	uint64_t born_ms; /* of the endpoint's start that it holds for */
-	bool in_force;    /* of a limit: false if an answer has named none */
-	double per_s;     /* of a limit */
-	/* of a backoff, what is left of it; of a limit, since the answer was read */
+	uint64_t born_ms; /* start time of the incarnation that sent the signal, by the endpoint's clock */
+	bool in_force;    /* limit only: false if the endpoint no longer advertises one */
+	double per_s;     /* limit only: requests per second */
+	/* backoff: time left until it ends; limit: time since the answer that advertised it was read */
 	uint64_t time_us;
 } BH__SignalNews;
 
@@ -190,34 +195,35 @@
 		struct {
 			uint64_t sequence;
 			BH__MemberInfo self;
-			uint64_t quarantine_hash; /* of the entries that all nodes are to know alike */
+			uint64_t quarantine_hash; /* hash of the quarantine entries that all nodes share */
 			uint8_t update_count;
 			BH__MemberInfo update[BH__MESSAGE_UPDATES_MAX];
 			uint8_t digest_count;
 			BH__PoolDigest digest[BH__MESSAGE_DIGESTS_MAX];
-		} ping; /* also ack */
+		} ping; /* also an ack message */
 		struct {
 			uint64_t sequence;
 			uint64_t target_node;
 		} ping_req;
 		struct {
 			BH__MemberInfo self;
-			uint64_t part_hash[BH__MEMBER_PARTS]; /* of what the sender knows of live members */
+			uint64_t part_hash[BH__MEMBER_PARTS]; /* hash of the sender's live members, by partition */
 		} join;
 		struct {
-			bool answers_join; /* all members of some parts; whoever knows more of these tells that */
-			uint64_t parts;    /* a bit for each, the lowest for the first */
+			/* `member` lists all members of `parts`; a receiver that knows more of them replies with those */
+			bool answers_join;
+			uint64_t parts; /* bit set of partitions, the lowest bit for the first */
 			uint32_t count;
 			BH__MemberInfo *member;
 		} members;
-		BH__MessageArc arc; /* of each message that goes to all: it stands first there */
+		BH__MessageArc arc; /* common initial member of all broadcast messages */
 		struct {
 			BH__MessageArc arc;
 			BH__MemberInfo member;
 		} news;
 		struct {
-			BH__MessageArc arc; /* empty if only the receiver is told */
-			bool for_all;       /* the receiver is to tell all others */
+			BH__MessageArc arc; /* empty if the message is for the receiver only */
+			bool for_all;       /* asks the receiver to broadcast the signals to all other nodes */
 			uint8_t count;
 			BH__SignalNews item[BH__MESSAGE_SIGNALS_MAX];
 		} signals;
@@ -231,16 +237,16 @@
 		} refuse;
 		struct {
 			uint64_t pool_id;
-			uint64_t grant_id; /* of the ask in a withdrawal */
+			uint64_t grant_id; /* in a withdraw message, the id of the ask */
 			BH__ReleaseKind kind;
 			uint64_t failed_endpoint;
-			uint64_t pass_us; /* length of the engine's pass that has just ended; 0 but in a pass message */
-			uint64_t backoff_us; /* for which the engine that failed has asked; 0: it has not */
-		} release;               /* also progress, pass, withdraw and queued */
+			uint64_t pass_us;    /* pass messages only: duration of the iteration that has ended; else 0 */
+			uint64_t backoff_us; /* backoff that the failed engine has asked for; 0: none */
+		} release;               /* also progress, pass, withdraw and queued messages */
 		struct {
 			uint64_t pool_id;
-			bool full;  /* `grant` is whole; otherwise only the ids are set */
-			bool whole; /* all nodes' grants are there, as the scheduler of before knew them */
+			bool full;  /* `grant` holds complete grants; otherwise only their ids are set */
+			bool whole; /* `grant` lists the grants of all nodes, as the previous scheduler knew them */
 			uint32_t count;
 			BH__Grant *grant;
 		} hold;
@@ -252,7 +258,7 @@
 			uint64_t revision;
 			bool has_hashes;
 			uint64_t chunk_hash[BH__CHUNK_COUNT];
-		} config_ask; /* also config_news, without hashes */
+		} config_ask; /* also a config-news message, which has no hashes */
 		struct {
 			char *head;
 			uint32_t count;
@@ -262,59 +268,65 @@
 			uint32_t count;
 			BH__QuotaEntry *entry;
 		} quota;
-		/* What a node knows of the platform, and how old that is: in a question what the asker knows, in the
-		 * answer what it is told. The asker counts from when it asked, by its own clock, so that a message
-		 * which is late on its way, or read late, does not make the ages younger. */
+		/* Platform state and its age: in a sync request, what the requester knows; in the response, what the
+		 * responder sends it. The requester adds the ages to the time at which it sent the request, by its
+		 * own clock, so that a response delayed on the network or in a queue does not make state look fresher
+		 * than it is. */
 		struct {
-			uint64_t asked_us; /* by the asker's clock; comes back in the answer */
-			/* for which the question may be kept until there is news, or was kept before it was answered */
+			uint64_t asked_us; /* send time of the request by the requester's clock; echoed in the response */
+			/* in a request, how long the responder may hold it until it has changes to send; in a response,
+			 * how long the request was held */
 			uint64_t held_us;
 			uint64_t configuration_version;
 			uint64_t configuration_age_us;
-			BH__PackedText configuration; /* one that is newer than the asker's, as the platform told it */
-			BH__Place place;              /* up to which all changes of endpoints are known */
-			BH__Place era_start;          /* where the era of that began, if the sender has seen it begin */
+			BH__PackedText configuration; /* as read from the platform, if newer than the requester's */
+			BH__Place place;              /* store version up to which all endpoint changes are known */
+			/* store version at which the era of `place` began; the zero version if the sender did not see it
+			 * begin */
+			BH__Place era_start;
 			uint64_t registry_age_us;
-			uint64_t reader; /* in an answer: the node whose look at the platform the registry shows */
-			/* in a question: the asker knows that the platform is away; in an answer: it did not answer the
-			 * node that is asked, which reads it for others */
+			uint64_t reader; /* in a response: the node whose platform read the registry reflects */
+			/* in a request: the requester knows that the platform is unavailable; in a response: the platform
+			 * did not answer the responder, which reads it for other nodes */
 			bool lost;
-			bool whole; /* the facts below are of all endpoints that there are, not only of those that changed
-						 */
+			bool whole; /* `fact` lists all existing endpoints, not only the changed ones */
 			uint32_t count;
 			BH__EndpointFact *fact;
 			uint32_t gone_count;
 			BH__EndpointDeparture *gone;
-			uint32_t hall_count; /* all that the sender knows to drain, or to have drained */
+			uint32_t hall_count; /* halls that the sender knows to be draining or to have been drained */
 			BH__HallDrain *hall;
-		} look; /* in a reader message: only the reader, who reads the platform for all */
-		/* What happened to a request that may crash endpoints, for the node which judges that: its endpoint
-		 * broke it off, or it was served. */
+		} look; /* a reader message holds only `reader`, the node that reads the platform for all */
+		/* Outcome of a request that may crash endpoints, sent to the node that evaluates crashes: either its
+		 * endpoint broke it off, or it was served. */
 		struct {
 			BH__QuarantineEvent event;
-			uint64_t endpoint_id; /* that broke it off */
+			uint64_t endpoint_id; /* the endpoint that broke it off */
 			BH__CrashSuspect suspect;
 		} suspect;
-		/* A node asks the home of a limited endpoint for leave to send a request there. */
+		/* Asks the home node of a rate-limited endpoint for a permit to send a request there. */
 		struct {
 			uint64_t ask_id;
-			uint64_t patience_us; /* for which the request may be held back */
+			uint64_t patience_us; /* longest time that the request may wait for the permit */
 			BH__SignalNews limit;
 		} permit_ask;
 		struct {
 			uint64_t ask_id;
 			bool granted;
-			uint64_t wait_us; /* after which it is to be sent, or else one may ask again */
+			/* if granted, the wait before the request is sent; otherwise, the wait before the next ask */
+			uint64_t wait_us;
 		} permit;
 		struct {
 			uint32_t count;
-			BH__QuarantineEntry *entry; /* `since_us` is the age, since nodes share no clock */
+			BH__QuarantineEntry *entry; /* `since_us` holds an age, since the nodes have no common clock */
 		} quarantine;
 	} as;
 } BH__Message;
 
-/* Encodes `m`; returns a buffer to free with free(), and its length. */
+/* Encodes `m`. Returns a buffer that the caller releases with free(), and stores its length in `len`. */
 char *bh__message_encode(const BH__Message *m, size_t *len);
+/* Decodes one message into `m`, which the caller releases with bh__message_finish(), also after a failure.
+ * Returns false and sets `error` if the message is malformed. */
 bool bh__message_decode(BH__Message *m, const char *data, size_t len, GError **error);
 void bh__message_finish(BH__Message *m);
 
--- a/include/bayhoist/signal_relay.h
+++ b/include/bayhoist/signal_relay.h
@@ -1,8 +1,9 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* One node's part in telling all nodes of the signals that endpoints give in their answers. Whoever hears one
- * tells the endpoint's home, the node that decides on its use for all, at once; the home tells all others
- * along the ring of ids, so that many nodes which hear the same make one message each, and no node sends more
- * than a few for one signal. No I/O, no clock of its own. */
+/* One node's part in distributing the signals that endpoints send in their answers. A node that receives a
+ * signal notifies the endpoint's home node at once, which decides for all nodes how the endpoint is used. The
+ * home node broadcasts the signal down the ring tree. So many nodes that receive the same signal send one
+ * message each, and no node sends more than a few messages for one signal. The module does no I/O and has no
+ * clock of its own. */
 #ifndef BAYHOIST_SIGNAL_RELAY_H
 #define BAYHOIST_SIGNAL_RELAY_H
 
@@ -10,10 +11,11 @@
 #include "bayhoist/registry.h"
 
 typedef struct BH__SignalRelayPort {
+	/* Sends a message to a node. */
 	void (*send)(struct BH__SignalRelayPort *port, uint64_t node_id, BH__Message *m);
-	/* Returns the node that decides on the use of a service's endpoints. */
+	/* Returns the home node of a service, which decides how its endpoints are used. */
 	uint64_t (*find_home)(struct BH__SignalRelayPort *port, const char *service);
-	/* Another node has told something of an endpoint that this one did not know. */
+	/* Called after an update from another node has changed what this node knows of an endpoint. */
 	void (*learnt)(struct BH__SignalRelayPort *port, BH__SignalKind kind, const BH__RegisteredEndpoint *e);
 } BH__SignalRelayPort;
 
@@ -25,7 +27,7 @@
 bool bh__signal_relay_hear_leaving(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t now_us);
 void bh__signal_relay_hear_overload(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t until_us,
 									uint64_t now_us);
-bool bh__signal_relay_hear_limit(BH__SignalRelay *r, BH__RegisteredEndpoint *e, const BH__NamedLimit *heard,
+bool bh__signal_relay_hear_limit(BH__SignalRelay *r, BH__RegisteredEndpoint *e, const BH__NamedLimit *limit,
 								 uint64_t now_us);
 bool bh__signal_relay_take(BH__SignalRelay *r, const BH__SignalNews *n, uint64_t now_us);
 bool bh__signal_relay_process_message(BH__SignalRelay *r, const BH__Message *m, uint64_t now_us);
--- a/src/libbayhoist/exchange.c
+++ b/src/libbayhoist/exchange.c
@@ -1,56 +1,63 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Sending a caller's request, again if need be. What may have run and must not run twice is never sent again;
- * what did not run is refused in words that say so; all else is sent again while attempts, budget and time
- * last. */
+/* Retry policy for a caller's request. A request that may have run and must not run twice is never retried. A
+ * request that did not run and cannot be retried is rejected with an answer that says so. All other requests
+ * are retried as long as attempts, retry budget and time are left. */
 #include "bayhoist/exchange.h"
 
 #include <string.h>
 #include "bayhoist/planner.h"
 
-#define UNREACHABLE_MAX_ 3              /* endpoints without a connection before the request is refused */
-#define LEAST_TIME_US_ (30 * BH__MS_US) /* with less left another sending can't bring an answer */
-/* An endpoint counts as silent after so many of its rule's aims. A stream is given up by its caller after 2
- * s, four times its target or eight times its gap, whichever is longest. */
-#define OVERDUE_FACTOR_ 2
-#define OVERDUE_EXTRA_MS_ 500
-#define STALL_FACTOR_ 4
-#define LEAST_PATIENCE_MS_ 900
-/* With engines not before a pass that reads all that one may, and the network's share, are over: else one
- * long pass has every stream of its engine sent again. */
-#define LEAST_ENGINE_PATIENCE_MS_ (BH__LONGEST_PASS_MS + 200)
-#define BUDGET_FILL_ 0.7 /* of what is allowed that is used: nodes restart, and then begin anew */
+#define UNREACHABLE_MAX_ 3 /* connection failures after which another endpoint is still tried */
+/* With less time left, another dispatch cannot produce an answer. */
+#define MIN_TIME_LEFT_US_ (30 * BH__MS_US)
+/* An endpoint counts as unresponsive after these multiples of the route rule's targets. They are shorter than
+ * the caller's own limits: a caller abandons a stream after 2 s, four times its target or eight times its
+ * event gap, whichever is longest. */
+#define FIRST_EVENT_WAIT_FACTOR_ 2
+#define FIRST_EVENT_WAIT_EXTRA_MS_ 500
+#define EVENT_GAP_WAIT_FACTOR_ 4
+#define MIN_WAIT_MS_ 900
+/* An engine does not count as unresponsive before its longest possible iteration, plus a network allowance,
+ * is over. Otherwise one long iteration would cause every stream of the engine to be retried. */
+#define MIN_ENGINE_WAIT_MS_ (BH__LONGEST_PASS_MS + 200)
+/* Fraction of the allowed retries that is used, because a node that restarts begins with a full budget again.
+ */
+#define BUDGET_SHARE_USED_ 0.7
 
 const char *const BH__SendingEndString[] = {"answered", "failed",  "refused", "unreachable",
 											"broken",   "stopped", "silent"};
 const char *const BH__NextString[] = {"done",   "pass-on", "send",     "resume",
 									  "refuse", "fail",    "time-out", "break-off"};
 
-static BH__Next give_up_(const BH__Exchange *x, BH__SendingEnd end);
-static BH__Next send_again_(const BH__Exchange *x);
-static BH__Next end_without_more_(const BH__Exchange *x, BH__Next if_may_have_run);
+static BH__Next abandon_(const BH__Exchange *state, BH__SendingEnd end);
+static BH__Next dispatch_again_(const BH__Exchange *state);
+static BH__Next end_without_retry_(const BH__Exchange *state, BH__Next action_if_may_have_run);
 
-/* Sets a budget that allows `at_once` sendings besides a share of the requests. */
-void bh__repeat_budget_init(BH__RepeatBudget *b, double share, double at_once)
+/* Initializes a full retry budget. `burst` is the number of retries allowed in a burst, `share` the number
+ * of retries that each request earns. Both are reduced by BUDGET_SHARE_USED_. */
+void bh__repeat_budget_init(BH__RepeatBudget *b, double share, double burst)
 {
 	memset(b, 0, sizeof *b);
-	b->share = share * BUDGET_FILL_;
-	b->max = at_once * BUDGET_FILL_;
+	b->share = share * BUDGET_SHARE_USED_;
+	b->max = burst * BUDGET_SHARE_USED_;
 	b->level = b->max;
 }
 
-/* Follows the number of nodes that share the service's allowance. */
-void bh__repeat_budget_set_nodes(BH__RepeatBudget *b, double at_once, unsigned nodes)
+/* Sets the maximum to this node's even part of the service's allowance `burst`, which `nodes` nodes share.
+ */
+void bh__repeat_budget_set_nodes(BH__RepeatBudget *b, double burst, unsigned nodes)
 {
-	b->max = at_once * BUDGET_FILL_ / MAX(nodes, 1u);
+	b->max = burst * BUDGET_SHARE_USED_ / MAX(nodes, 1u);
 	b->level = MIN(b->level, b->max);
 }
 
+/* Credits the budget with one request. */
 void bh__repeat_budget_note_request(BH__RepeatBudget *b)
 {
 	b->level = MIN(b->level + b->share, b->max);
 }
 
-/* Takes one sending. Returns false if the budget is spent. */
+/* Takes one retry from the budget. Returns false if less than one is left. */
 bool bh__repeat_budget_take(BH__RepeatBudget *b)
 {
 	if (b->level < 1) {
@@ -62,99 +69,108 @@
 	return true;
 }
 
-void bh__exchange_init(BH__Exchange *x, const BH__RouteRule *rule, uint64_t deadline_us)
+/* Initializes the state of a new request. `rule` allows at least one dispatch, even with a `max_attempts` of
+ * 0. */
+void bh__exchange_init(BH__Exchange *state, const BH__RouteRule *rule, uint64_t deadline_us)
 {
-	memset(x, 0, sizeof *x);
-	x->repeat = rule->repeat;
-	x->max_attempts = MAX(rule->max_attempts, 1u);
-	x->deadline_us = deadline_us;
+	memset(state, 0, sizeof *state);
+	state->repeat = rule->repeat;
+	state->max_attempts = MAX(rule->max_attempts, 1u);
+	state->deadline_us = deadline_us;
 }
 
-/* Notes an endpoint that the request is kept away from; of many, the latest. */
-void bh__exchange_note_tried(BH__Exchange *x, uint64_t endpoint_id)
+/* Adds an endpoint that the request is not sent to again. Once BH__TRIED_MAX are stored, the new endpoint
+ * replaces one of them, chosen by the number of dispatches. */
+void bh__exchange_note_tried(BH__Exchange *state, uint64_t endpoint_id)
 {
-	if (x->tried_count < BH__TRIED_MAX)
-		x->tried[x->tried_count++] = endpoint_id;
+	if (state->tried_count < BH__TRIED_MAX)
+		state->tried[state->tried_count++] = endpoint_id;
 	else
-		x->tried[x->sendings % BH__TRIED_MAX] = endpoint_id;
+		state->tried[state->sendings % BH__TRIED_MAX] = endpoint_id;
 }
 
-BH__Verdict bh__exchange_get_verdict(const BH__Exchange *x)
+/* Returns whether the request may have run at an endpoint. */
+BH__Verdict bh__exchange_get_verdict(const BH__Exchange *state)
 {
-	return x->may_have_run ? BH__VERDICT_MAY_HAVE_RUN : BH__VERDICT_NOT_RUN;
+	return state->may_have_run ? BH__VERDICT_MAY_HAVE_RUN : BH__VERDICT_NOT_RUN;
 }
 
-/* Returns true if the request may go to one more endpoint, budget aside. */
-bool bh__exchange_may_send_again(const BH__Exchange *x, uint64_t now_us)
+/* Returns true if the request may be sent to one more endpoint, without regard to the retry budget. */
+bool bh__exchange_may_send_again(const BH__Exchange *state, uint64_t now_us)
 {
-	bool harmless = !x->may_have_run || x->repeat != BH__REPEAT_NEVER;
-	bool continues = !x->answer_begun || x->repeat == BH__REPEAT_RESUME;
+	bool may_run_again = !state->may_have_run || state->repeat != BH__REPEAT_NEVER;
+	bool can_continue = !state->answer_begun || state->repeat == BH__REPEAT_RESUME;
 
-	return harmless && continues && x->sendings < x->max_attempts && x->unreachable <= UNREACHABLE_MAX_ &&
-		   now_us + LEAST_TIME_US_ < x->deadline_us;
+	return may_run_again && can_continue && state->sendings < state->max_attempts &&
+		   state->unreachable <= UNREACHABLE_MAX_ && now_us + MIN_TIME_LEFT_US_ < state->deadline_us;
 }
 
-/* A sending has ended: says what is next. A sending without a connection costs no budget, since nothing
- * arrived. */
-BH__Next bh__exchange_process_end(BH__Exchange *x, BH__SendingEnd end, BH__RepeatBudget *budget,
+/* Records how a dispatch ended and returns the next action. A retry is charged to `budget` unless no dispatch
+ * has reached an endpoint so far, since nothing has arrived then. */
+BH__Next bh__exchange_process_end(BH__Exchange *state, BH__SendingEnd end, BH__RepeatBudget *budget,
 								  uint64_t now_us)
 {
 	if (end == BH__SENDING_ANSWERED)
 		return BH__NEXT_DONE;
 	if (end == BH__SENDING_UNREACHABLE)
-		x->unreachable++;
+		state->unreachable++;
 	else
-		x->sendings++;
+		state->sendings++;
 	if (end == BH__SENDING_BROKEN || end == BH__SENDING_SILENT || end == BH__SENDING_FAILED ||
 		end == BH__SENDING_STOPPED)
-		x->may_have_run = true;
-	if (end == BH__SENDING_STOPPED || !bh__exchange_may_send_again(x, now_us))
-		return give_up_(x, end);
-	if ((end != BH__SENDING_UNREACHABLE || x->sendings > 0) && !bh__repeat_budget_take(budget))
-		return give_up_(x, end);
-	return send_again_(x);
+		state->may_have_run = true;
+	if (end == BH__SENDING_STOPPED || !bh__exchange_may_send_again(state, now_us))
+		return abandon_(state, end);
+	if ((end != BH__SENDING_UNREACHABLE || state->sendings > 0) && !bh__repeat_budget_take(budget))
+		return abandon_(state, end);
+	return dispatch_again_(state);
 }
 
-static BH__Next send_again_(const BH__Exchange *x)
+/* Returns the action that retries the request: from the start, or after the last event if its answer has
+ * begun. */
+static BH__Next dispatch_again_(const BH__Exchange *state)
 {
-	return x->answer_begun ? BH__NEXT_RESUME : BH__NEXT_SEND;
+	return state->answer_begun ? BH__NEXT_RESUME : BH__NEXT_SEND;
 }
 
-static BH__Next give_up_(const BH__Exchange *x, BH__SendingEnd end)
+/* Returns the action that ends a request whose last dispatch ended with `end` and that is not retried. */
+static BH__Next abandon_(const BH__Exchange *state, BH__SendingEnd end)
 {
 	if (end == BH__SENDING_FAILED)
-		return end_without_more_(x, BH__NEXT_PASS_ON);
-	return end_without_more_(x, end == BH__SENDING_SILENT ? BH__NEXT_TIME_OUT : BH__NEXT_FAIL);
+		return end_without_retry_(state, BH__NEXT_PASS_ON);
+	return end_without_retry_(state, end == BH__SENDING_SILENT ? BH__NEXT_TIME_OUT : BH__NEXT_FAIL);
 }
 
-/* Returns how a request ends that is sent no more: `if_may_have_run` says how one does that may have run and
- * whose caller has no part of an answer. */
-static BH__Next end_without_more_(const BH__Exchange *x, BH__Next if_may_have_run)
+/* Returns the action that ends a request that is not retried. `action_if_may_have_run` is the action if the
+ * request may have run and the caller has not received the beginning of an answer. */
+static BH__Next end_without_retry_(const BH__Exchange *state, BH__Next action_if_may_have_run)
 {
-	if (x->answer_begun)
+	if (state->answer_begun)
 		return BH__NEXT_BREAK_OFF;
-	return x->may_have_run ? if_may_have_run : BH__NEXT_REFUSE;
+	return state->may_have_run ? action_if_may_have_run : BH__NEXT_REFUSE;
 }
 
-/* The request's time is up. `x->may_have_run` must say whether a sending is under way. */
-BH__Next bh__exchange_process_deadline(const BH__Exchange *x)
+/* Returns the action that ends a request whose deadline has passed. If a dispatch is in progress, the caller
+ * must have set `may_have_run` first. */
+BH__Next bh__exchange_process_deadline(const BH__Exchange *state)
 {
-	return end_without_more_(x, BH__NEXT_TIME_OUT);
+	return end_without_retry_(state, BH__NEXT_TIME_OUT);
 }
 
-/* No endpoint can take the request now, or none will. */
-BH__Next bh__exchange_process_no_place(const BH__Exchange *x)
+/* Returns the action that ends a request that no endpoint accepts. */
+BH__Next bh__exchange_process_no_place(const BH__Exchange *state)
 {
-	return end_without_more_(x, BH__NEXT_FAIL);
+	return end_without_retry_(state, BH__NEXT_FAIL);
 }
 
-/* Returns how long an endpoint may send nothing before it counts as silent: before its answer to a request of
- * this rule has begun, or between two events. */
+/* Returns the time in microseconds after which an endpoint that sends nothing counts as unresponsive. With
+ * `has_begun` false it applies to the beginning of the answer, otherwise to the gap between two events. */
 uint64_t bh__patience_us(const BH__RouteRule *rule, bool is_engine, bool has_begun)
 {
-	uint64_t ms = has_begun ? (uint64_t)rule->event_gap_ms * STALL_FACTOR_
-							: (uint64_t)rule->target_ms * OVERDUE_FACTOR_ + OVERDUE_EXTRA_MS_;
-	uint64_t least_ms = is_engine ? LEAST_ENGINE_PATIENCE_MS_ : LEAST_PATIENCE_MS_;
+	uint64_t ms = has_begun
+					  ? (uint64_t)rule->event_gap_ms * EVENT_GAP_WAIT_FACTOR_
+					  : (uint64_t)rule->target_ms * FIRST_EVENT_WAIT_FACTOR_ + FIRST_EVENT_WAIT_EXTRA_MS_;
+	uint64_t min_ms = is_engine ? MIN_ENGINE_WAIT_MS_ : MIN_WAIT_MS_;
 
-	return MAX(ms, least_ms) * BH__MS_US;
+	return MAX(ms, min_ms) * BH__MS_US;
 }
--- a/src/libbayhoist/message.c
+++ b/src/libbayhoist/message.c
@@ -1,15 +1,15 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Encoding of peer messages. A message is one msgpack array: version, type, sender, then its fields in order.
- * Each structure's fields are listed once, in a function that both packs and unpacks, so that the two cannot
- * drift apart. */
+/* Encoding of peer messages. A message is a sequence of msgpack values: version, type, sender, then its
+ * fields in order. One function per structure lists the fields and both packs and unpacks them, so that
+ * encoder and decoder cannot diverge. */
 #include "bayhoist/message.h"
 
 #include <math.h>
 #include <msgpack.h>
 #include <string.h>
 
-/* Lead bytes of containers, from the msgpack specification; those from 0xe0 on are small negative numbers,
- * which no message has either. */
+/* Lead bytes of containers, from the msgpack specification. Bytes from 0xe0 on encode small negative numbers,
+ * which messages do not contain either. */
 #define MSGPACK_FIXMAP_FIRST_ 0x80
 #define MSGPACK_FIXARRAY_LAST_ 0x9f
 #define MSGPACK_ARRAY16_ 0xdc
@@ -22,12 +22,13 @@
 	"quarantine", "news",        "signals",    "permit-ask",  "permit"};
 const char *const BH__MemberStateString[] = {"alive", "suspect", "dead"};
 
-/* Either packs into `packer` or reads the next values of an array. */
+/* State of encoding or decoding one message: packs values into `packer`, or takes them from an array of
+ * decoded values. */
 typedef struct {
-	msgpack_packer *packer; /* NULL when unpacking */
-	const msgpack_object *next;
-	size_t left;
-	bool failed;
+	msgpack_packer *packer;     /* NULL when unpacking */
+	const msgpack_object *next; /* next value to take */
+	size_t left;                /* values not yet taken */
+	bool failed;                /* a value is missing, of the wrong type or out of range */
 } Codec_;
 
 static bool is_packing_(const Codec_ *c);
@@ -39,7 +40,7 @@
 static void real_(Codec_ *c, double *value);
 static void string_(Codec_ *c, char *value, size_t size);
 static void text_(Codec_ *c, char **value);
-static void packed_(Codec_ *c, BH__PackedText *value);
+static void packed_text_(Codec_ *c, BH__PackedText *value);
 static void *list_(Codec_ *c, uint32_t *count, void *list, size_t size);
 static void member_(Codec_ *c, BH__MemberInfo *m);
 static void digest_(Codec_ *c, BH__PoolDigest *d);
@@ -51,16 +52,16 @@
 static void config_data_(Codec_ *c, BH__Message *m);
 static void quota_(Codec_ *c, BH__Message *m);
 static void endpoint_(Codec_ *c, BH__EndpointEntry *e);
-static void place_(Codec_ *c, BH__Place *p);
+static void store_version_(Codec_ *c, BH__Place *p);
 static void past_(Codec_ *c, BH__EndpointPast *p);
-static void look_(Codec_ *c, BH__Message *m);
+static void sync_(Codec_ *c, BH__Message *m);
 static void fingerprint_(Codec_ *c, BH__Fingerprint *f);
 static void suspect_(Codec_ *c, BH__Message *m);
 static void quarantine_entry_(Codec_ *c, BH__QuarantineEntry *e);
 static void quarantine_(Codec_ *c, BH__Message *m);
-static void arc_(Codec_ *c, BH__MessageArc *a);
+static void range_(Codec_ *c, BH__MessageArc *a);
 static void signals_(Codec_ *c, BH__Message *m);
-static void signal_(Codec_ *c, BH__SignalNews *n);
+static void signal_update_(Codec_ *c, BH__SignalNews *n);
 static void permit_ask_(Codec_ *c, BH__Message *m);
 static void permit_(Codec_ *c, BH__Message *m);
 static void body_(Codec_ *c, BH__Message *m);
@@ -71,7 +72,8 @@
 	return c->packer != NULL;
 }
 
-/* Returns the next value if it has the type wanted; otherwise marks the codec failed. */
+/* Takes the next value. Returns NULL and marks the codec failed if there is none or its type is not `type`.
+ */
 static const msgpack_object *take_(Codec_ *c, msgpack_object_type type)
 {
 	if (c->failed || !c->left || c->next->type != type) {
@@ -103,6 +105,7 @@
 	*value = (uint32_t)wide;
 }
 
+/* Packs or takes an integer. Fails if it is greater than `max`. */
 static void u8_(Codec_ *c, uint8_t *value, uint8_t max)
 {
 	uint64_t wide = *value;
@@ -131,6 +134,7 @@
 		*value = o->via.f64;
 }
 
+/* Packs or takes a string. Fails if it does not fit in the `size` bytes at `value` with its terminator. */
 static void string_(Codec_ *c, char *value, size_t size)
 {
 	const msgpack_object *o;
@@ -149,6 +153,7 @@
 	value[o->via.str.size] = '\0';
 }
 
+/* Packs or takes a string of any length. A decoded string is allocated. */
 static void text_(Codec_ *c, char **value)
 {
 	const msgpack_object *o;
@@ -162,7 +167,8 @@
 		*value = g_strndup(o->via.str.ptr, o->via.str.size);
 }
 
-static void packed_(Codec_ *c, BH__PackedText *value)
+/* Packs or takes a compressed text. Decoded data is allocated; an empty one leaves `data` NULL. */
+static void packed_text_(Codec_ *c, BH__PackedText *value)
 {
 	const msgpack_object *o;
 
@@ -178,14 +184,15 @@
 	value->len = o->via.bin.size;
 }
 
-/* Packs a list's length, or reads it and returns a new zeroed list. */
+/* Packs the length of a list and returns `list`, or reads the length and returns a new zeroed list. A length
+ * above BH__MESSAGE_LIST_MAX or above the number of values left fails with NULL and a count of 0. */
 static void *list_(Codec_ *c, uint32_t *count, void *list, size_t size)
 {
 	u32_(c, count);
 	if (is_packing_(c))
 		return list;
 	if (c->failed || *count > BH__MESSAGE_LIST_MAX ||
-		*count > c->left) { /* each entry takes one value or more */
+		*count > c->left) { /* each entry takes at least one value */
 		c->failed = true;
 		*count = 0;
 		return NULL;
@@ -288,6 +295,7 @@
 	}
 }
 
+/* Packs or takes the list of grants of a hold message: complete grants, or their ids only. */
 static void hold_(Codec_ *c, BH__Message *m)
 {
 	u64_(c, &m->as.hold.pool_id);
@@ -342,7 +350,7 @@
 	flag_(c, &e->draining);
 }
 
-static void place_(Codec_ *c, BH__Place *p)
+static void store_version_(Codec_ *c, BH__Place *p)
 {
 	u64_(c, &p->era);
 	u64_(c, &p->revision);
@@ -350,22 +358,22 @@
 
 static void past_(Codec_ *c, BH__EndpointPast *p)
 {
-	place_(c, &p->gone);
-	place_(c, &p->listed);
+	store_version_(c, &p->gone);
+	store_version_(c, &p->listed);
 	u64_(c, &p->born_ms);
 	flag_(c, &p->drained);
 	u64_(c, &p->drained_born_ms);
 }
 
-static void look_(Codec_ *c, BH__Message *m)
+static void sync_(Codec_ *c, BH__Message *m)
 {
 	u64_(c, &m->as.look.asked_us);
 	u64_(c, &m->as.look.held_us);
 	u64_(c, &m->as.look.configuration_version);
 	u64_(c, &m->as.look.configuration_age_us);
-	packed_(c, &m->as.look.configuration);
-	place_(c, &m->as.look.place);
-	place_(c, &m->as.look.era_start);
+	packed_text_(c, &m->as.look.configuration);
+	store_version_(c, &m->as.look.place);
+	store_version_(c, &m->as.look.era_start);
 	u64_(c, &m->as.look.registry_age_us);
 	u64_(c, &m->as.look.reader);
 	flag_(c, &m->as.look.lost);
@@ -386,7 +394,7 @@
 	for (uint32_t i = 0; i < m->as.look.hall_count && !c->failed; i++) {
 		string_(c, m->as.look.hall[i].name, sizeof m->as.look.hall[i].name);
 		flag_(c, &m->as.look.hall[i].draining);
-		place_(c, &m->as.look.hall[i].changed);
+		store_version_(c, &m->as.look.hall[i].changed);
 	}
 }
 
@@ -432,7 +440,7 @@
 		quarantine_entry_(c, &m->as.quarantine.entry[i]);
 }
 
-static void arc_(Codec_ *c, BH__MessageArc *a)
+static void range_(Codec_ *c, BH__MessageArc *a)
 {
 	u64_(c, &a->first);
 	u64_(c, &a->last);
@@ -441,14 +449,14 @@
 
 static void signals_(Codec_ *c, BH__Message *m)
 {
-	arc_(c, &m->as.arc);
+	range_(c, &m->as.arc);
 	flag_(c, &m->as.signals.for_all);
 	u8_(c, &m->as.signals.count, BH__MESSAGE_SIGNALS_MAX);
 	for (unsigned i = 0; i < m->as.signals.count; i++)
-		signal_(c, &m->as.signals.item[i]);
+		signal_update_(c, &m->as.signals.item[i]);
 }
 
-static void signal_(Codec_ *c, BH__SignalNews *n)
+static void signal_update_(Codec_ *c, BH__SignalNews *n)
 {
 	uint8_t kind = (uint8_t)n->kind;
 
@@ -466,7 +474,7 @@
 {
 	u64_(c, &m->as.permit_ask.ask_id);
 	u64_(c, &m->as.permit_ask.patience_us);
-	signal_(c, &m->as.permit_ask.limit);
+	signal_update_(c, &m->as.permit_ask.limit);
 }
 
 static void permit_(Codec_ *c, BH__Message *m)
@@ -476,6 +484,7 @@
 	u64_(c, &m->as.permit.wait_us);
 }
 
+/* Packs or takes the fields that belong to the message's type. */
 static void body_(Codec_ *c, BH__Message *m)
 {
 	uint8_t kind;
@@ -502,7 +511,7 @@
 			member_(c, &m->as.members.member[i]);
 		break;
 	case BH__MESSAGE_NEWS:
-		arc_(c, &m->as.arc);
+		range_(c, &m->as.arc);
 		member_(c, &m->as.news.member);
 		break;
 	case BH__MESSAGE_ASK:
@@ -553,7 +562,7 @@
 		break;
 	case BH__MESSAGE_LOOK_ASK:
 	case BH__MESSAGE_LOOK:
-		look_(c, m);
+		sync_(c, m);
 		break;
 	case BH__MESSAGE_READER:
 		u64_(c, &m->as.look.reader);
@@ -579,7 +588,8 @@
 	}
 }
 
-/* Counts nothing ahead: the values are packed one after another, and the reader takes them until the end. */
+/* Encodes `m`. The values follow one another without an enclosing array, so their number need not be known in
+ * advance; the decoder reads to the end of the data. */
 char *bh__message_encode(const BH__Message *m, size_t *len)
 {
 	msgpack_sbuffer buffer;
@@ -597,15 +607,17 @@
 	return msgpack_sbuffer_release(&buffer);
 }
 
-/* Returns true if a value that begins with `lead` is an array or a map. A message has none, and one that
- * claims a great length would have the decoder set aside as much memory. */
+/* Returns true if `lead` is the lead byte of an array or a map. Messages contain neither, and a container
+ * that claims a great length would make the decoder allocate as much memory. Also returns true for small
+ * negative numbers. */
 static bool is_container_(uint8_t lead)
 {
 	bool is_short = lead >= MSGPACK_FIXMAP_FIRST_ && lead <= MSGPACK_FIXARRAY_LAST_;
 	return is_short || lead >= MSGPACK_ARRAY16_;
 }
 
-/* Decodes one message into `m`, to be ended with bh__message_finish() even on failure. */
+/* Decodes one message into `m`. The caller calls bh__message_finish() also after a failure. Rejects data with
+ * another protocol version, values out of range, or values left over after the last field. */
 bool bh__message_decode(BH__Message *m, const char *data, size_t len, GError **error)
 {
 	msgpack_unpacked unpacked;
@@ -647,7 +659,7 @@
 	return !c.failed;
 }
 
-/* Frees the lists that a decoded message holds. */
+/* Frees the lists and texts of a decoded message. */
 void bh__message_finish(BH__Message *m)
 {
 	switch (m->type) {
--- a/src/libbayhoist/signal_relay.c
+++ b/src/libbayhoist/signal_relay.c
@@ -1,48 +1,50 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Signals of endpoints among the nodes. */
+/* Distribution of endpoint signals among the nodes: merges received signals and broadcasts updates. */
 #include "bayhoist/signal_relay.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Messages to all for each tick: where all endpoints of a hall begin to leave at once, their home's link is
- * not filled by telling of it. */
+/* Maximum number of broadcasts per tick. It keeps the home node's network link from filling up when all
+ * endpoints of a hall begin to leave at once. */
 #define MESSAGES_PER_TICK_ 4
-/* While answers name a limit its home is told of that again: it may be new, or have missed it. */
-#define RETELL_US_ BH__SECOND_US
-/* A limit that is another in each answer is told to its home this often; what is asked of it comes with the
- * latest figure anyhow. */
-#define MOVED_US_ (100 * BH__MS_US)
-/* All hear of a figure that has moved by more than this share of itself: only a node that becomes home needs
- * it, and counts by what it hears from the next answer on. */
-#define MOVED_SHARE_ 0.2
-
-/* Of which endpoint what is to be told: news are written when they go out, with what is known then. */
+/* While answers advertise an unchanged limit, the home node is notified again after this time: it may be a
+ * new home node, or have missed the message. */
+#define RENOTIFY_US_ BH__SECOND_US
+/* Shortest time between notifications of the home node about a limit whose value changes with every answer.
+ * Permit requests carry the latest value in any case. */
+#define CHANGED_LIMIT_PERIOD_US_ (100 * BH__MS_US)
+/* Relative change of a limit's value above which it is broadcast. Only a node that becomes the home node
+ * needs the value, and from the next answer on it uses the value that it receives itself. */
+#define BROADCAST_CHANGE_SHARE_ 0.2
+
+/* Signal to broadcast. The update itself is filled in when it is sent, with the state known at that time. */
 typedef struct {
 	BH__SignalKind kind;
 	uint64_t endpoint_id;
-} Topic_;
+} PendingSignal_;
 
 struct BH__SignalRelay {
 	BH__SignalRelayPort *port;
 	BH__Members *members;
 	BH__Registry *registry;
-	GArray *topics; /* Topic_ of which this node is to tell all, the oldest first */
-	bool has_heard; /* an endpoint of whose leaving this node is to tell a home */
-	uint64_t members_seen;
+	GArray *pending; /* of PendingSignal_: signals that this node has yet to broadcast, the oldest first */
+	/* an endpoint has told this node that it leaves, so that each new home node must be notified */
+	bool has_leaving_endpoint;
+	uint64_t checked_members_version; /* membership version at the last check for new home nodes */
 };
 
-static void tell_leaving_(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t now_us);
-static void tell_home_(BH__SignalRelay *r, BH__SignalKind kind, BH__RegisteredEndpoint *e, uint64_t now_us);
-static void tell_homes_again_(BH__SignalRelay *r, uint64_t now_us);
-static void tell_limit_(BH__SignalRelay *r, BH__RegisteredEndpoint *e);
+static void notify_leaving_(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t now_us);
+static void notify_home_(BH__SignalRelay *r, BH__SignalKind kind, BH__RegisteredEndpoint *e, uint64_t now_us);
+static void notify_new_homes_(BH__SignalRelay *r, uint64_t now_us);
+static void queue_limit_(BH__SignalRelay *r, BH__RegisteredEndpoint *e);
 static bool is_home_(const BH__SignalRelay *r, const char *service);
-static void add_(BH__SignalRelay *r, BH__SignalKind kind, uint64_t endpoint_id);
-static void follow_(BH__SignalRelay *r, const BH__SignalNews *n, bool for_all);
-static bool take_limit_(BH__RegisteredEndpoint *e, const BH__SignalNews *n, uint64_t now_us);
-static bool write_next_(const BH__SignalRelay *r, guint *at, uint64_t now_us, BH__Message *m);
+static void queue_(BH__SignalRelay *r, BH__SignalKind kind, uint64_t endpoint_id);
+static void process_new_update_(BH__SignalRelay *r, const BH__SignalNews *n, bool for_all);
+static bool merge_limit_(BH__RegisteredEndpoint *e, const BH__SignalNews *n, uint64_t now_us);
+static bool fill_message_(const BH__SignalRelay *r, guint *at, uint64_t now_us, BH__Message *m);
 
-/* Returns a relay; nothing of what it is given belongs to it. */
+/* Returns a new relay, which does not take ownership of its arguments. */
 BH__SignalRelay *bh__signal_relay_new(BH__SignalRelayPort *port, BH__Members *members, BH__Registry *registry)
 {
 	BH__SignalRelay *r = g_new0(BH__SignalRelay, 1);
@@ -50,7 +52,7 @@
 	r->port = port;
 	r->members = members;
 	r->registry = registry;
-	r->topics = g_array_new(FALSE, FALSE, sizeof(Topic_));
+	r->pending = g_array_new(FALSE, FALSE, sizeof(PendingSignal_));
 	return r;
 }
 
@@ -58,59 +60,64 @@
 {
 	if (!r)
 		return;
-	g_array_unref(r->topics);
+	g_array_unref(r->pending);
 	g_free(r);
 }
 
-/* An answer that this node has read says that its endpoint leaves. Returns true if that was not known. */
+/* Handles an answer, read by this node, in which an endpoint says that it leaves. Notifies the home node.
+ * Returns true if this was not known. */
 bool bh__signal_relay_hear_leaving(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	if (!bh__registry_note_leaving(r->registry, e->endpoint_id, e->entry.born_ms))
 		return false;
 	e->signals.said_leaving = true;
-	r->has_heard = true;
-	tell_leaving_(r, e, now_us);
+	r->has_leaving_endpoint = true;
+	notify_leaving_(r, e, now_us);
 	return true;
 }
 
-/* Tells a home of a leaving, unless it was told. */
-static void tell_leaving_(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t now_us)
+/* Notifies the home node that an endpoint leaves, unless this home node has been notified already. */
+static void notify_leaving_(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	uint64_t home = r->port->find_home(r->port, e->entry.service);
 
 	if (e->signals.leaving_told_node == home)
 		return;
 	e->signals.leaving_told_node = home;
-	tell_home_(r, BH__SIGNAL_LEAVING, e, now_us);
+	notify_home_(r, BH__SIGNAL_LEAVING, e, now_us);
 }
 
-/* An endpoint has turned away a request of this node, and asked for backoff until a time. One message for
- * each backoff, not for each request that is turned away. */
+/* Handles an answer in which an endpoint rejects a request of this node and asks for backoff until
+ * `until_us`. Notifies the home node once per backoff, not once per rejected request. */
 void bh__signal_relay_hear_overload(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t until_us,
 									uint64_t now_us)
 {
 	if (bh__registered_endpoint_hear_overload(e, until_us, now_us))
-		tell_home_(r, BH__SIGNAL_BACKOFF, e, now_us);
+		notify_home_(r, BH__SIGNAL_BACKOFF, e, now_us);
 }
 
-/* An answer that this node has read names a limit of its endpoint, or none (see
- * bh__registered_endpoint_hear_limit()). Returns true if that changes what is known. */
-bool bh__signal_relay_hear_limit(BH__SignalRelay *r, BH__RegisteredEndpoint *e, const BH__NamedLimit *heard,
+/* Handles the limit in an answer that this node has read, or its absence (see
+ * bh__registered_endpoint_hear_limit()). Notifies the home node at once if a limit begins or ends, otherwise
+ * at most once per CHANGED_LIMIT_PERIOD_US_ or RENOTIFY_US_. Returns true if the limit has changed. */
+bool bh__signal_relay_hear_limit(BH__SignalRelay *r, BH__RegisteredEndpoint *e, const BH__NamedLimit *limit,
 								 uint64_t now_us)
 {
 	bool was_in_force = e->signals.named.in_force;
-	bool changed = bh__registered_endpoint_hear_limit(e, heard, now_us);
-	uint64_t period_us = !changed ? RETELL_US_ : was_in_force == e->signals.named.in_force ? MOVED_US_ : 0;
+	bool changed = bh__registered_endpoint_hear_limit(e, limit, now_us);
+	uint64_t period_us = !changed                                    ? RENOTIFY_US_
+						 : was_in_force == e->signals.named.in_force ? CHANGED_LIMIT_PERIOD_US_
+																	 : 0;
 
-	if ((changed || heard->in_force) && now_us >= e->signals.named_told_us + period_us) {
+	if ((changed || limit->in_force) && now_us >= e->signals.named_told_us + period_us) {
 		e->signals.named_told_us = now_us;
-		tell_home_(r, BH__SIGNAL_LIMIT, e, now_us);
+		notify_home_(r, BH__SIGNAL_LIMIT, e, now_us);
 	}
 	return changed;
 }
 
-/* Tells an endpoint's home what this node knows, or all if that is this node. */
-static void tell_home_(BH__SignalRelay *r, BH__SignalKind kind, BH__RegisteredEndpoint *e, uint64_t now_us)
+/* Sends a signal of an endpoint to its home node, or queues it for broadcast if this node is the home node.
+ */
+static void notify_home_(BH__SignalRelay *r, BH__SignalKind kind, BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	BH__Message m = {.type = BH__MESSAGE_SIGNALS};
 
@@ -121,24 +128,26 @@
 		r->port->send(r->port, r->port->find_home(r->port, e->entry.service), &m);
 	}
 	else if (kind == BH__SIGNAL_LIMIT) {
-		tell_limit_(r, e);
+		queue_limit_(r, e);
 	}
 	else {
-		add_(r, kind, e->endpoint_id);
+		queue_(r, kind, e->endpoint_id);
 	}
 }
 
-/* All are to hear of a limit that begins, ends, or has moved far. */
-static void tell_limit_(BH__SignalRelay *r, BH__RegisteredEndpoint *e)
+/* Queues a limit for broadcast if it has begun, ended, or changed by more than BROADCAST_CHANGE_SHARE_ since
+ * the last broadcast. */
+static void queue_limit_(BH__SignalRelay *r, BH__RegisteredEndpoint *e)
 {
 	double per_s = e->signals.named.in_force ? e->signals.named.per_s : 0;
-	bool moved = fabs(per_s - e->signals.spread_per_s) > MOVED_SHARE_ * e->signals.spread_per_s;
+	bool has_changed =
+		fabs(per_s - e->signals.spread_per_s) > BROADCAST_CHANGE_SHARE_ * e->signals.spread_per_s;
 
-	if (e->signals.spread_in_force == e->signals.named.in_force && !moved)
+	if (e->signals.spread_in_force == e->signals.named.in_force && !has_changed)
 		return;
 	e->signals.spread_in_force = e->signals.named.in_force;
 	e->signals.spread_per_s = per_s;
-	add_(r, BH__SIGNAL_LIMIT, e->endpoint_id);
+	queue_(r, BH__SIGNAL_LIMIT, e->endpoint_id);
 }
 
 static bool is_home_(const BH__SignalRelay *r, const char *service)
@@ -146,19 +155,20 @@
 	return r->port->find_home(r->port, service) == bh__members_get_self(r->members)->node_id;
 }
 
-static void add_(BH__SignalRelay *r, BH__SignalKind kind, uint64_t endpoint_id)
+/* Queues a signal for broadcast, unless it is queued already. */
+static void queue_(BH__SignalRelay *r, BH__SignalKind kind, uint64_t endpoint_id)
 {
-	Topic_ t = {.kind = kind, .endpoint_id = endpoint_id};
+	PendingSignal_ t = {.kind = kind, .endpoint_id = endpoint_id};
 
-	for (guint i = 0; i < r->topics->len; i++) {
-		const Topic_ *known = &g_array_index(r->topics, Topic_, i);
-		if (known->kind == kind && known->endpoint_id == endpoint_id)
+	for (guint i = 0; i < r->pending->len; i++) {
+		const PendingSignal_ *queued = &g_array_index(r->pending, PendingSignal_, i);
+		if (queued->kind == kind && queued->endpoint_id == endpoint_id)
 			return;
 	}
-	g_array_append_val(r->topics, t);
+	g_array_append_val(r->pending, t);
 }
 
-/* Returns what this node knows of an endpoint's signal, as news for another. */
+/* Returns an update for other nodes that holds what this node knows of an endpoint's signal. */
 BH__SignalNews bh__signal_news(BH__SignalKind kind, const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	BH__SignalNews n = {.kind = kind, .endpoint_id = e->endpoint_id, .born_ms = e->entry.born_ms};
@@ -169,13 +179,14 @@
 	else if (kind == BH__SIGNAL_LIMIT) {
 		n.in_force = e->signals.named.in_force;
 		n.per_s = e->signals.named.in_force ? e->signals.named.per_s : 0;
-		/* an end counts as of now: an earlier naming must not outlast it */
+		/* the end of a limit is dated now, so that it overrides every earlier advertisement of the limit */
 		n.time_us = e->signals.named.in_force ? now_us - MIN(now_us, e->signals.named.heard_us) : 0;
 	}
 	return n;
 }
 
-/* Takes a message. Returns false if it is not one of signals. */
+/* Merges the updates of a signals message and forwards the message. Returns false if it is a message of
+ * another type. */
 bool bh__signal_relay_process_message(BH__SignalRelay *r, const BH__Message *m, uint64_t now_us)
 {
 	if (m->type != BH__MESSAGE_SIGNALS)
@@ -183,30 +194,32 @@
 	for (unsigned i = 0; i < m->as.signals.count; i++) {
 		const BH__SignalNews *n = &m->as.signals.item[i];
 		if (bh__signal_relay_take(r, n, now_us))
-			follow_(r, n, m->as.signals.for_all);
+			process_new_update_(r, n, m->as.signals.for_all);
 	}
 	bh__members_pass_on(r->members, m);
 	return true;
 }
 
-/* Goes on with news that were not known: they are for all, or all have been told by another node. */
-static void follow_(BH__SignalRelay *r, const BH__SignalNews *n, bool for_all)
+/* Handles an update that was new to this node. With `for_all` the sender leaves the broadcast to this node.
+ * Otherwise another node broadcasts the update, and a limit is only noted as broadcast. */
+static void process_new_update_(BH__SignalRelay *r, const BH__SignalNews *n, bool for_all)
 {
 	BH__RegisteredEndpoint *e = bh__registry_find(r->registry, n->endpoint_id);
 
 	if (n->kind == BH__SIGNAL_LIMIT && for_all) {
-		tell_limit_(r, e);
+		queue_limit_(r, e);
 	}
 	else if (n->kind == BH__SIGNAL_LIMIT) {
 		e->signals.spread_in_force = n->in_force;
 		e->signals.spread_per_s = n->per_s;
 	}
 	else if (for_all) {
-		add_(r, n->kind, n->endpoint_id);
+		queue_(r, n->kind, n->endpoint_id);
 	}
 }
 
-/* Takes what another node tells. Returns true if it was not known. */
+/* Merges an update from another node. Updates of a backoff or a limit that belong to another incarnation of
+ * the endpoint are ignored. Returns true if the update was new to this node. */
 bool bh__signal_relay_take(BH__SignalRelay *r, const BH__SignalNews *n, uint64_t now_us)
 {
 	BH__RegisteredEndpoint *e = bh__registry_find(r->registry, n->endpoint_id);
@@ -221,7 +234,7 @@
 		is_new = is_same_start && bh__registered_endpoint_hear_overload(e, now_us + n->time_us, now_us);
 		break;
 	case BH__SIGNAL_LIMIT:
-		is_new = is_same_start && take_limit_(e, n, now_us);
+		is_new = is_same_start && merge_limit_(e, n, now_us);
 		break;
 	case BH__SIGNAL_KIND_COUNT:
 		break;
@@ -231,50 +244,53 @@
 	return is_new;
 }
 
-static bool take_limit_(BH__RegisteredEndpoint *e, const BH__SignalNews *n, uint64_t now_us)
+/* Merges a limit from another node. Returns true if it changes what is known. */
+static bool merge_limit_(BH__RegisteredEndpoint *e, const BH__SignalNews *n, uint64_t now_us)
 {
-	BH__NamedLimit heard = {
+	BH__NamedLimit limit = {
 		.in_force = n->in_force, .per_s = n->per_s, .heard_us = now_us - MIN(now_us, n->time_us)};
 
-	return bh__registered_endpoint_hear_limit(e, &heard, now_us);
+	return bh__registered_endpoint_hear_limit(e, &limit, now_us);
 }
 
-/* Tells all what has come up since the last time. To be called some times a second. */
+/* Broadcasts queued signals, at most MESSAGES_PER_TICK_ messages. The caller runs this several times per
+ * second. */
 void bh__signal_relay_process_tick(BH__SignalRelay *r, uint64_t now_us)
 {
 	guint done = 0;
 
-	tell_homes_again_(r, now_us);
-	for (unsigned k = 0; k < MESSAGES_PER_TICK_ && done < r->topics->len; k++) {
+	notify_new_homes_(r, now_us);
+	for (unsigned k = 0; k < MESSAGES_PER_TICK_ && done < r->pending->len; k++) {
 		BH__Message m = {.type = BH__MESSAGE_SIGNALS};
-		if (write_next_(r, &done, now_us, &m))
+		if (fill_message_(r, &done, now_us, &m))
 			bh__members_tell_all(r->members, &m);
 	}
-	g_array_remove_range(r->topics, 0, done);
+	g_array_remove_range(r->pending, 0, done);
 }
 
-/* Where another node has become home of an endpoint that said to this one that it leaves, tells that node. */
-static void tell_homes_again_(BH__SignalRelay *r, uint64_t now_us)
+/* After a membership change, notifies the new home nodes of endpoints that have told this node that they
+ * leave. */
+static void notify_new_homes_(BH__SignalRelay *r, uint64_t now_us)
 {
-	if (!r->has_heard || r->members_seen == bh__members_get_version(r->members))
+	if (!r->has_leaving_endpoint || r->checked_members_version == bh__members_get_version(r->members))
 		return;
-	r->members_seen = bh__members_get_version(r->members);
-	r->has_heard = false;
+	r->checked_members_version = bh__members_get_version(r->members);
+	r->has_leaving_endpoint = false;
 	for (unsigned i = 0; i < bh__registry_get_count(r->registry); i++) {
 		BH__RegisteredEndpoint *e = bh__registry_get(r->registry, i);
 		if (!e->signals.said_leaving)
 			continue;
-		r->has_heard = true;
-		tell_leaving_(r, e, now_us);
+		r->has_leaving_endpoint = true;
+		notify_leaving_(r, e, now_us);
 	}
 }
 
-/* Writes as many topics as a message holds, from one on, without those of endpoints that are gone. Returns
- * false if there is nothing to tell. */
-static bool write_next_(const BH__SignalRelay *r, guint *at, uint64_t now_us, BH__Message *m)
+/* Fills `m` with queued signals from index `*at` on and advances `*at`. Skips endpoints that have been
+ * removed. Returns false if the message is empty. */
+static bool fill_message_(const BH__SignalRelay *r, guint *at, uint64_t now_us, BH__Message *m)
 {
-	while (*at < r->topics->len && m->as.signals.count < BH__MESSAGE_SIGNALS_MAX) {
-		const Topic_ *t = &g_array_index(r->topics, Topic_, (*at)++);
+	while (*at < r->pending->len && m->as.signals.count < BH__MESSAGE_SIGNALS_MAX) {
+		const PendingSignal_ *t = &g_array_index(r->pending, PendingSignal_, (*at)++);
 		const BH__RegisteredEndpoint *e = bh__registry_find(r->registry, t->endpoint_id);
 		if (e)
 			m->as.signals.item[m->as.signals.count++] = bh__signal_news(t->kind, e, now_us);
@@ -282,18 +298,18 @@
 	return m->as.signals.count > 0;
 }
 
-/* A node is there that may know nothing yet: it hears what is known of the endpoints whose home this node is.
- */
+/* Sends a node that may lack this state the signals of all endpoints whose home node this node is. Backoffs
+ * are not sent. */
 void bh__signal_relay_tell_node(BH__SignalRelay *r, uint64_t node_id, uint64_t now_us)
 {
 	BH__Message m = {.type = BH__MESSAGE_SIGNALS};
 
 	for (unsigned i = 0; i < bh__registry_get_count(r->registry); i++) {
 		const BH__RegisteredEndpoint *e = bh__registry_get(r->registry, i);
-		const bool known[BH__SIGNAL_KIND_COUNT] = {
+		const bool is_known[BH__SIGNAL_KIND_COUNT] = {
 			[BH__SIGNAL_LEAVING] = e->entry.draining, [BH__SIGNAL_LIMIT] = e->signals.named.in_force};
 		for (int kind = 0; kind < BH__SIGNAL_KIND_COUNT; kind++) {
-			if (!known[kind] || !is_home_(r, e->entry.service))
+			if (!is_known[kind] || !is_home_(r, e->entry.service))
 				continue;
 			m.as.signals.item[m.as.signals.count++] = bh__signal_news((BH__SignalKind)kind, e, now_us);
 			if (m.as.signals.count < BH__MESSAGE_SIGNALS_MAX)
--- a/src/libbayhoist/spread.c
+++ b/src/libbayhoist/spread.c
@@ -1,19 +1,20 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What nodes tell each other besides membership: the configuration, asked for by whoever hears of a newer
- * one, and the parts of account rates. */
+/* State that nodes exchange besides membership: the configuration, which a node requests from a peer that has
+ * a newer revision, and the rate shares of accounts. */
 #include "node_internal.h"
 
-#define CONFIG_ASK_US_ (500 * BH__MS_US) /* between asks for a configuration */
+#define CONFIG_ASK_PERIOD_US_ (500 * BH__MS_US) /* minimum time between two requests for a configuration */
 
-static void count_fleet_(const BH__Node *n, unsigned *alive, unsigned *lost);
+static void count_nodes_(const BH__Node *n, unsigned *alive, unsigned *dead);
 
-/* A node has a configuration that is newer than ours: ask it for what we lack, now and then. */
+/* Handles the configuration revision that a node has reported. If it is newer than this node's, requests the
+ * chunks that differ, at most once per CONFIG_ASK_PERIOD_US_ until an answer arrives. */
 void bh__spread_hear_revision(BH__Node *n, uint64_t node_id, uint64_t revision)
 {
 	BH__Message m = {.type = BH__MESSAGE_CONFIG_ASK};
 
 	if (revision <= bh__config_get_revision(n->config) ||
-		(n->config_asked_us && n->now_us < n->config_asked_us + CONFIG_ASK_US_))
+		(n->config_asked_us && n->now_us < n->config_asked_us + CONFIG_ASK_PERIOD_US_))
 		return;
 	n->config_asked_us = n->now_us;
 	m.as.config_ask.revision = bh__config_get_revision(n->config);
@@ -22,6 +23,8 @@
 	bh__node_send(n, node_id, &m);
 }
 
+/* Answers a request for the configuration with the chunks that the requesting node lacks. Sends nothing if
+ * this node's configuration is not newer. */
 void bh__spread_process_config_ask(BH__Node *n, const BH__Message *m)
 {
 	BH__Message answer = {.type = BH__MESSAGE_CONFIG_DATA};
@@ -42,6 +45,7 @@
 	bh__node_send(n, m->from_node, &answer);
 }
 
+/* Installs a configuration received from a peer. Logs an event if it is refused. */
 void bh__spread_process_config_data(BH__Node *n, const BH__Message *m)
 {
 	const char *chunks[BH__CHUNK_COUNT] = {NULL};
@@ -56,26 +60,29 @@
 	}
 }
 
-/* Counts the nodes that are there and those that were lost and may still be running behind a cut. */
-static void count_fleet_(const BH__Node *n, unsigned *alive, unsigned *lost)
+/* Counts the nodes that are not dead in the membership table, and the dead ones, which may still run on the
+ * other side of a network partition. */
+static void count_nodes_(const BH__Node *n, unsigned *alive, unsigned *dead)
 {
 	*alive = 0;
-	*lost = 0;
+	*dead = 0;
 	for (unsigned i = 0; i < bh__members_get_count(n->members); i++) {
 		if (bh__members_get(n->members, i)->state == BH__MEMBER_DEAD)
-			(*lost)++;
+			(*dead)++;
 		else
 			(*alive)++;
 	}
 }
 
+/* Answers a request for rate shares: allots each account's share in tokens per second to the requesting node.
+ * Accounts that are unknown or have no rate limit are left out of the answer. */
 void bh__spread_process_quota_ask(BH__Node *n, const BH__Message *m)
 {
 	BH__Message answer = {.type = BH__MESSAGE_QUOTA_GRANT};
 	unsigned alive;
-	unsigned lost;
+	unsigned dead;
 
-	count_fleet_(n, &alive, &lost);
+	count_nodes_(n, &alive, &dead);
 	answer.as.quota.entry = g_new0(BH__QuotaEntry, m->as.quota.count + 1);
 	for (uint32_t i = 0; i < m->as.quota.count; i++) {
 		const BH__QuotaEntry *ask = &m->as.quota.entry[i];
@@ -86,7 +93,7 @@
 			continue;
 		e->account_id = ask->account_id;
 		e->rate = bh__quota_allot(n->quota, m->from_node, m->from_boot, ask,
-								  (double)r->as.account.tokens_per_s, alive, lost, n->now_us);
+								  (double)r->as.account.tokens_per_s, alive, dead, n->now_us);
 		answer.as.quota.count++;
 	}
 	if (m->from_node != n->options.self.node_id) {
@@ -100,7 +107,8 @@
 	g_free(answer.as.quota.entry);
 }
 
-/* Sends each account's ask to its home. */
+/* Sends a request for a rate share to the home node of each account. Handles it locally if this node is the
+ * home node or there is none. */
 void bh__spread_send_quota_asks(BH__Node *n)
 {
 	GArray *asks = bh__quota_get_asks(n->quota, n->now_us);
