--- a/src/test_libbayhoist/test_signal_relay.c
+++ b/src/test_libbayhoist/test_signal_relay.c
@@ -162,7 +162,7 @@
 
 /* A signal that one node receives, or a tenth of all nodes at the same moment, reaches all nodes, and no node
  * sends more than SENT_PER_NODE_MAX messages. Each receiver adds one message, the one to the home node. */
-static void no_node_tells_all_itself_(void **state)
+static void test_leaving_broadcast_message_count_(void **state)
 {
 	(void)state;
 	for (unsigned i = 0; i < G_N_ELEMENTS(Counts_); i++) {
@@ -189,7 +189,7 @@
 
 /* 300 endpoints begin to leave within one second, each noticed by another node: the broadcasts stay within
  * the control budget and do not fill a network link. */
-static void a_hall_that_leaves_fills_no_link_(void **state)
+static void test_leaving_hall_stays_within_control_budget_(void **state)
 {
 	const unsigned endpoints = 300;
 
@@ -217,7 +217,7 @@
 
 /* The home node dies before it has broadcast a signal: the node that received the signal notifies the next
  * home node. */
-static void a_home_that_dies_loses_nothing_(void **state)
+static void test_signal_survives_home_node_death_(void **state)
 {
 	const unsigned counts[] = {9, 85, 300};
 
@@ -242,7 +242,7 @@
 }
 
 /* A node that starts with outdated entries receives the current signals from the home node. */
-static void a_node_that_starts_is_told_(void **state)
+static void test_starting_node_is_notified_(void **state)
 {
 	MemberFleet *f = fleet_new_(9, 80);
 	MemberNode *home = find_home_of_(f);
@@ -270,7 +270,7 @@
 
 /* All nodes use a later incarnation of an endpoint, even if they receive the leaving signal of the earlier
  * incarnation after it. */
-static void a_later_start_is_used_(void **state)
+static void test_later_incarnation_is_used_(void **state)
 {
 	MemberFleet *f = fleet_new_(9, 3);
 	BH__Message late = {.type = BH__MESSAGE_SIGNALS};
@@ -330,7 +330,7 @@
 
 /* During an outage of the store, no request reaches a leaving endpoint once NOTIFIED_WITHIN_MS have passed.
  */
-static void in_an_outage_all_hear_at_once_(void **state)
+static void test_outage_stops_requests_to_leaving_endpoint_(void **state)
 {
 	const unsigned counts[] = {9, 85, 984};
 
@@ -447,7 +447,7 @@
 /* An endpoint that rejects all requests looks idle to every node whose request it has not rejected yet. If
  * nodes notify each other, it gets in each backoff period only the requests that arrive until all nodes are
  * notified. */
-static void a_crowded_endpoint_is_known_to_all_(void **state)
+static void test_overloaded_endpoint_is_avoided_(void **state)
 {
 	const unsigned counts[] = {9, 85, 300};
 	const unsigned per_s = 30;
@@ -470,7 +470,7 @@
 
 /* All endpoints are overloaded: with notification the fleet serves at least 95% of the requests that it
  * serves without. */
-static void crowded_endpoints_are_used_(void **state)
+static void test_overloaded_endpoints_stay_in_use_(void **state)
 {
 	const unsigned counts[] = {9, 85, 300};
 	const unsigned per_s = 600; /* the endpoints can serve 400 */
@@ -511,7 +511,7 @@
 
 /* All nodes are notified of a limit that begins or ends, and no node sends more than SENT_PER_NODE_MAX
  * messages. Guards against a home node that notifies every other node itself. */
-static void limits_go_along_the_ring_(void **state)
+static void test_limit_broadcast_message_count_(void **state)
 {
 	(void)state;
 	for (unsigned i = 0; i < G_N_ELEMENTS(Counts_); i++) {
@@ -533,7 +533,7 @@
 
 /* An endpoint advertises a slightly different limit in each answer, and 300 endpoints begin to advertise one
  * within one second: the messages stay within the control budget of a node. */
-static void limits_that_move_are_little_news_(void **state)
+static void test_changing_limits_stay_within_control_budget_(void **state)
 {
 	const unsigned endpoints = 300;
 
@@ -578,16 +578,16 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(no_node_tells_all_itself_),
-		cmocka_unit_test(a_hall_that_leaves_fills_no_link_),
-		cmocka_unit_test(a_home_that_dies_loses_nothing_),
-		cmocka_unit_test(a_node_that_starts_is_told_),
-		cmocka_unit_test(a_later_start_is_used_),
-		cmocka_unit_test(in_an_outage_all_hear_at_once_),
-		cmocka_unit_test(a_crowded_endpoint_is_known_to_all_),
-		cmocka_unit_test(crowded_endpoints_are_used_),
-		cmocka_unit_test(limits_go_along_the_ring_),
-		cmocka_unit_test(limits_that_move_are_little_news_),
+		cmocka_unit_test(test_leaving_broadcast_message_count_),
+		cmocka_unit_test(test_leaving_hall_stays_within_control_budget_),
+		cmocka_unit_test(test_signal_survives_home_node_death_),
+		cmocka_unit_test(test_starting_node_is_notified_),
+		cmocka_unit_test(test_later_incarnation_is_used_),
+		cmocka_unit_test(test_outage_stops_requests_to_leaving_endpoint_),
+		cmocka_unit_test(test_overloaded_endpoint_is_avoided_),
+		cmocka_unit_test(test_overloaded_endpoints_stay_in_use_),
+		cmocka_unit_test(test_limit_broadcast_message_count_),
+		cmocka_unit_test(test_changing_limits_stay_within_control_budget_),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
