--- a/include/bayhoist/message.h
+++ b/include/bayhoist/message.h
@@ -14,10 +14,10 @@
 
 #define BH__MESSAGE_VERSION 10
 #define BH__MESSAGE_UPDATES_MAX 8 /* member records piggybacked on a ping or its ack */
-#define BH__MEMBER_PARTS 64       /* partitions of the member table, by the highest bits of the node id */
+#define BH__MEMBER_PARTITIONS 64  /* partitions of the member table, by the highest bits of the node id */
 /* Number of broadcast trees that each update is sent along. An unresponsive node that is not yet known to be
  * dead cuts off the subtree below it; another tree reaches the nodes in that subtree over other nodes. */
-#define BH__MESSAGE_NEWS_WAYS 2
+#define BH__MESSAGE_UPDATE_TREES 2
 #define BH__MESSAGE_SIGNALS_MAX 32 /* endpoint signals in one message */
 #define BH__MESSAGE_DIGESTS_MAX 16 /* pool digests piggybacked on a ping or its ack */
 #define BH__MESSAGE_LIST_MAX 65536 /* a message with a longer list is rejected as malformed */
@@ -36,19 +36,19 @@
 	BH__MESSAGE_WITHDRAW,
 	BH__MESSAGE_HOLD,
 	BH__MESSAGE_ORPHAN,
-	BH__MESSAGE_CONFIG_NEWS,
+	BH__MESSAGE_CONFIG_UPDATE,
 	BH__MESSAGE_CONFIG_ASK,
 	BH__MESSAGE_CONFIG_DATA,
 	BH__MESSAGE_QUOTA_ASK,
 	BH__MESSAGE_QUOTA_GRANT,
 	BH__MESSAGE_QUEUED,
-	BH__MESSAGE_LOOK_ASK,
-	BH__MESSAGE_LOOK,
-	BH__MESSAGE_PASS,
+	BH__MESSAGE_SYNC_ASK,
+	BH__MESSAGE_SYNC,
+	BH__MESSAGE_ITERATION,
 	BH__MESSAGE_READER,
 	BH__MESSAGE_SUSPECT,
 	BH__MESSAGE_QUARANTINE,
-	BH__MESSAGE_NEWS,
+	BH__MESSAGE_MEMBER_UPDATE,
 	BH__MESSAGE_SIGNALS,
 	BH__MESSAGE_PERMIT_ASK,
 	BH__MESSAGE_PERMIT,
@@ -139,8 +139,8 @@
 	uint64_t boot_id;
 	uint32_t priority_level;
 	bool is_long;
-	bool tells_progress; /* the scheduler asks for a progress message when a prefill is done */
-	bool writes;         /* the first event of the answer has been received */
+	bool reports_progress; /* the scheduler asks for a progress message when a prefill is done */
+	bool has_first_event;  /* the first event of the answer has been received */
 	uint64_t event_gap_us;
 	uint64_t expected_us; /* predicted time from the grant to the answer's first event; 0: not predicted */
 	uint64_t age_us;      /* time since the grant was given, when it is reported later */
@@ -173,8 +173,8 @@
 	uint64_t first;
 	uint64_t last;
 	/* broadcast tree that the message travels along, from 0; each tree routes over different nodes */
-	uint8_t way;
-} BH__MessageArc;
+	uint8_t tree_index;
+} BH__MessageRange;
 
 /* What a node knows of a signal that an endpoint sends in its answers. */
 typedef struct {
@@ -185,7 +185,7 @@
 	double per_s;     /* limit only: requests per second */
 	/* backoff: time left until it ends; limit: time since the answer that advertised it was read */
 	uint64_t time_us;
-} BH__SignalNews;
+} BH__SignalUpdate;
 
 typedef struct {
 	BH__MessageType type;
@@ -207,25 +207,26 @@
 		} ping_req;
 		struct {
 			BH__MemberInfo self;
-			uint64_t part_hash[BH__MEMBER_PARTS]; /* hash of the sender's live members, by partition */
+			uint64_t
+				partition_hash[BH__MEMBER_PARTITIONS]; /* hash of the sender's live members, by partition */
 		} join;
 		struct {
 			/* `member` lists all members of `parts`; a receiver that knows more of them replies with those */
 			bool answers_join;
-			uint64_t parts; /* bit set of partitions, the lowest bit for the first */
+			uint64_t partitions; /* bit set of partitions, the lowest bit for the first */
 			uint32_t count;
 			BH__MemberInfo *member;
 		} members;
-		BH__MessageArc arc; /* common initial member of all broadcast messages */
+		BH__MessageRange range; /* common initial member of all broadcast messages */
 		struct {
-			BH__MessageArc arc;
+			BH__MessageRange range;
 			BH__MemberInfo member;
-		} news;
+		} member_update;
 		struct {
-			BH__MessageArc arc; /* empty if the message is for the receiver only */
-			bool for_all;       /* asks the receiver to broadcast the signals to all other nodes */
+			BH__MessageRange range; /* empty if the message is for the receiver only */
+			bool for_all;           /* asks the receiver to broadcast the signals to all other nodes */
 			uint8_t count;
-			BH__SignalNews item[BH__MESSAGE_SIGNALS_MAX];
+			BH__SignalUpdate item[BH__MESSAGE_SIGNALS_MAX];
 		} signals;
 		BH__Ask ask;
 		BH__Grant grant;
@@ -240,13 +241,13 @@
 			uint64_t grant_id; /* in a withdraw message, the id of the ask */
 			BH__ReleaseKind kind;
 			uint64_t failed_endpoint;
-			uint64_t pass_us;    /* pass messages only: duration of the iteration that has ended; else 0 */
-			uint64_t backoff_us; /* backoff that the failed engine has asked for; 0: none */
-		} release;               /* also progress, pass, withdraw and queued messages */
+			uint64_t iteration_us; /* pass messages only: duration of the iteration that has ended; else 0 */
+			uint64_t backoff_us;   /* backoff that the failed engine has asked for; 0: none */
+		} release;                 /* also progress, pass, withdraw and queued messages */
 		struct {
 			uint64_t pool_id;
-			bool full;  /* `grant` holds complete grants; otherwise only their ids are set */
-			bool whole; /* `grant` lists the grants of all nodes, as the previous scheduler knew them */
+			bool full;        /* `grant` holds complete grants; otherwise only their ids are set */
+			bool is_complete; /* `grant` lists the grants of all nodes, as the previous scheduler knew them */
 			uint32_t count;
 			BH__Grant *grant;
 		} hold;
@@ -276,7 +277,7 @@
 			uint64_t asked_us; /* send time of the request by the requester's clock; echoed in the response */
 			/* in a request, how long the responder may hold it until it has changes to send; in a response,
 			 * how long the request was held */
-			uint64_t held_us;
+			uint64_t hold_time_us;
 			uint64_t configuration_version;
 			uint64_t configuration_age_us;
 			BH__PackedText configuration; /* as read from the platform, if newer than the requester's */
@@ -288,15 +289,15 @@
 			uint64_t reader; /* in a response: the node whose platform read the registry reflects */
 			/* in a request: the requester knows that the platform is unavailable; in a response: the platform
 			 * did not answer the responder, which reads it for other nodes */
-			bool lost;
-			bool whole; /* `fact` lists all existing endpoints, not only the changed ones */
+			bool platform_unavailable;
+			bool is_complete; /* `fact` lists all existing endpoints, not only the changed ones */
 			uint32_t count;
 			BH__EndpointFact *fact;
 			uint32_t gone_count;
 			BH__EndpointDeparture *gone;
 			uint32_t hall_count; /* halls that the sender knows to be draining or to have been drained */
 			BH__HallDrain *hall;
-		} look; /* a reader message holds only `reader`, the node that reads the platform for all */
+		} sync; /* a reader message holds only `reader`, the node that reads the platform for all */
 		/* Outcome of a request that may crash endpoints, sent to the node that evaluates crashes: either its
 		 * endpoint broke it off, or it was served. */
 		struct {
@@ -307,8 +308,8 @@
 		/* Asks the home node of a rate-limited endpoint for a permit to send a request there. */
 		struct {
 			uint64_t ask_id;
-			uint64_t patience_us; /* longest time that the request may wait for the permit */
-			BH__SignalNews limit;
+			uint64_t max_wait_us; /* longest time that the request may wait for the permit */
+			BH__SignalUpdate limit;
 		} permit_ask;
 		struct {
 			uint64_t ask_id;
--- a/include/bayhoist/signal_relay.h
+++ b/include/bayhoist/signal_relay.h
@@ -16,7 +16,7 @@
 	/* Returns the home node of a service, which decides how its endpoints are used. */
 	uint64_t (*find_home)(struct BH__SignalRelayPort *port, const char *service);
 	/* Called after an update from another node has changed what this node knows of an endpoint. */
-	void (*learnt)(struct BH__SignalRelayPort *port, BH__SignalKind kind, const BH__RegisteredEndpoint *e);
+	void (*merged)(struct BH__SignalRelayPort *port, BH__SignalKind kind, const BH__RegisteredEndpoint *e);
 } BH__SignalRelayPort;
 
 typedef struct BH__SignalRelay BH__SignalRelay;
@@ -24,15 +24,16 @@
 BH__SignalRelay *bh__signal_relay_new(BH__SignalRelayPort *port, BH__Members *members,
 									  BH__Registry *registry);
 void bh__signal_relay_delete(BH__SignalRelay *r);
-bool bh__signal_relay_hear_leaving(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t now_us);
-void bh__signal_relay_hear_overload(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t until_us,
-									uint64_t now_us);
-bool bh__signal_relay_hear_limit(BH__SignalRelay *r, BH__RegisteredEndpoint *e, const BH__NamedLimit *limit,
-								 uint64_t now_us);
-bool bh__signal_relay_take(BH__SignalRelay *r, const BH__SignalNews *n, uint64_t now_us);
+bool bh__signal_relay_receive_leaving(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t now_us);
+void bh__signal_relay_receive_overload(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t until_us,
+									   uint64_t now_us);
+bool bh__signal_relay_receive_limit(BH__SignalRelay *r, BH__RegisteredEndpoint *e,
+									const BH__NamedLimit *limit, uint64_t now_us);
+bool bh__signal_relay_merge(BH__SignalRelay *r, const BH__SignalUpdate *n, uint64_t now_us);
 bool bh__signal_relay_process_message(BH__SignalRelay *r, const BH__Message *m, uint64_t now_us);
 void bh__signal_relay_process_tick(BH__SignalRelay *r, uint64_t now_us);
-void bh__signal_relay_tell_node(BH__SignalRelay *r, uint64_t node_id, uint64_t now_us);
-BH__SignalNews bh__signal_news(BH__SignalKind kind, const BH__RegisteredEndpoint *e, uint64_t now_us);
+void bh__signal_relay_notify_node(BH__SignalRelay *r, uint64_t node_id, uint64_t now_us);
+BH__SignalUpdate bh__signal_update_make(BH__SignalKind kind, const BH__RegisteredEndpoint *e,
+										uint64_t now_us);
 
 #endif
--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -106,7 +106,7 @@
 	c->state = CALL_ASKING;
 	if (!admit_(c))
 		return;
-	bh__repeat_budget_note_request(gate_get_budget(c->gate, c->service->name));
+	bh__service_retry_budget_note_request(gate_get_budget(c->gate, c->service->name));
 	place_(c);
 }
 
@@ -170,7 +170,7 @@
 	time_us = c->rule->timeout_ms * BH__MS_US;
 	if (r->meta.time_left_us && (!time_us || r->meta.time_left_us < time_us))
 		time_us = r->meta.time_left_us;
-	bh__exchange_init(&c->x, c->rule, r->arrived_us + time_us);
+	bh__retry_state_init(&c->x, c->rule, r->arrived_us + time_us);
 	if (r->meta.time_left_us)
 		c->waited_before_us = bh__caller_time_note(&route_times_(c)->caller, r->meta.time_left_us);
 	c->fingerprint = fingerprint_(c);
@@ -292,7 +292,7 @@
 	BH__RegisteredEndpoint *e;
 
 	if (now_us >= c->x.deadline_us) {
-		call_act(c, bh__exchange_process_deadline(&c->x));
+		call_act(c, bh__retry_state_process_deadline(&c->x));
 		return;
 	}
 	if (give_up_held_(c) || give_up_stopping_(c))
@@ -393,7 +393,7 @@
 static void send_(Call *c, uint64_t endpoint_id)
 {
 	if (clock_now_us() >= c->x.deadline_us)
-		call_act(c, bh__exchange_process_deadline(&c->x));
+		call_act(c, bh__retry_state_process_deadline(&c->x));
 	else if (!give_up_held_(c) && !give_up_stopping_(c))
 		sending_start(c, endpoint_id);
 }
@@ -440,7 +440,7 @@
 
 	if (seen_us)
 		return seen_us;
-	return bh__patience_us(c->rule, c->service->is_engine, false) +
+	return bh__response_max_wait_us(c->rule, c->service->is_engine, false) +
 		   (uint64_t)(write_ms_(c) * WRITE_FACTOR) * BH__MS_US;
 }
 
@@ -458,7 +458,7 @@
 		if (c->state != CALL_SENDING)
 			give_up_held_(c);
 		else if (!c->x.answer_begun && !evbuffer_get_length(c->body))
-			sending_end(c, BH__SENDING_STOPPED);
+			sending_end(c, BH__DISPATCH_STOPPED);
 	}
 	g_list_free(all);
 }
@@ -466,9 +466,9 @@
 /* Ends a request for which there is no place: one that did not run is refused with these words. */
 static void give_up_(Call *c, uint64_t retry_after_ms, const char *code, const char *message)
 {
-	BH__Next next = bh__exchange_process_no_place(&c->x);
+	BH__NextAction next = bh__retry_state_process_no_endpoint(&c->x);
 
-	if (next == BH__NEXT_REFUSE)
+	if (next == BH__NEXT_ACTION_REFUSE)
 		refuse_(c, 503, retry_after_ms, code, message);
 	else
 		call_act(c, next);
@@ -627,7 +627,7 @@
 {
 	cluster_release(c->gate->cluster, c, BH__RELEASE_UNUSED, BH__NO_ENDPOINT);
 	if (unusable_endpoint != BH__NO_ENDPOINT)
-		bh__exchange_note_tried(&c->x, unusable_endpoint);
+		bh__retry_state_note_tried(&c->x, unusable_endpoint);
 	if (++c->unused_grants > UNUSED_GRANTS_MAX)
 		give_up_(c, RETRY_SOON_MS, "not-run", "no endpoint ran the request");
 	else
@@ -654,12 +654,12 @@
 	return_grant_(c, unusable);
 }
 
-void call_act(Call *c, BH__Next next)
+void call_act(Call *c, BH__NextAction next)
 {
 	Gate *g = c->gate;
 
 	switch (next) {
-	case BH__NEXT_DONE:
+	case BH__NEXT_ACTION_DONE:
 		if (c->passing && !c->x.answer_begun)
 			sending_begin_answer(c);
 		if (c->x.answer_begun)
@@ -668,27 +668,27 @@
 			inbound_answer_whole(c->in, c->head.status, c->head.reason, c->head.headers, c->body);
 		finish_(c, CALL_SERVED, "served");
 		break;
-	case BH__NEXT_PASS_ON:
+	case BH__NEXT_ACTION_PASS_THROUGH:
 		pass_failure_(c);
 		break;
-	case BH__NEXT_SEND:
-	case BH__NEXT_RESUME:
+	case BH__NEXT_ACTION_SEND:
+	case BH__NEXT_ACTION_RESUME:
 		g->counters.repeats++;
-		g->counters.resumes += next == BH__NEXT_RESUME;
+		g->counters.resumes += next == BH__NEXT_ACTION_RESUME;
 		send_again_(c);
 		break;
-	case BH__NEXT_REFUSE:
+	case BH__NEXT_ACTION_REFUSE:
 		refuse_(c, 503, retry_no_endpoint_ms_(c), "not-run", "no endpoint ran the request");
 		break;
-	case BH__NEXT_FAIL:
+	case BH__NEXT_ACTION_FAIL:
 		inbound_answer_own(c->in, 502, 0, "endpoint-failed", "the endpoint failed; the request may have run");
 		finish_(c, CALL_FAILED, "endpoint-failed");
 		break;
-	case BH__NEXT_TIME_OUT:
+	case BH__NEXT_ACTION_TIME_OUT:
 		inbound_answer_own(c->in, 504, 0, "deadline", "the request's time is up; it may have run");
 		finish_(c, CALL_FAILED, "deadline");
 		break;
-	case BH__NEXT_BREAK_OFF:
+	case BH__NEXT_ACTION_BREAK_OFF:
 		inbound_break_off(c->in);
 		finish_(c, CALL_FAILED, "broken-off");
 		break;
@@ -714,7 +714,7 @@
 	bool promises = c->head.status == 503 || c->head.status == 429 || c->head.status == 408;
 
 	if (promises && !c->head.meta.mac[0]) {
-		call_act(c, BH__NEXT_FAIL);
+		call_act(c, BH__NEXT_ACTION_FAIL);
 		return;
 	}
 	inbound_answer_whole(c->in, c->head.status, c->head.reason, c->head.headers, c->body);
@@ -750,7 +750,7 @@
 			  "request=%s route=%s outcome=%s status=%d state=%s sendings=%u may_have_run=%s "
 			  "pause_ms=%" G_GUINT64_FORMAT " took_ms=%" G_GUINT64_FORMAT " configuration=%" G_GUINT64_FORMAT,
 			  c->request->meta.request_id, c->rule ? c->rule->name : "", reason, c->head.status,
-			  StateString_[c->state], c->x.sendings, c->x.may_have_run ? "yes" : "no",
+			  StateString_[c->state], c->x.dispatches, c->x.may_have_run ? "yes" : "no",
 			  c->longest_pause_us / BH__MS_US, (now_us - c->request->arrived_us) / BH__MS_US,
 			  c->routing ? bh__routing_get_version(c->routing) : 0);
 	g_hash_table_remove(g->calls, c);
@@ -766,7 +766,8 @@
 {
 	if (c->state != CALL_SENDING || c->paused || c->rule->repeat == BH__REPEAT_NEVER || c->judged)
 		return UINT64_MAX;
-	return c->heard_us + bh__patience_us(c->rule, c->service->is_engine, c->events.events && c->passing);
+	return c->heard_us +
+		   bh__response_max_wait_us(c->rule, c->service->is_engine, c->events.events && c->passing);
 }
 
 /* Returns until when a request waits for what the node does not know yet: as long as that is on its way and
@@ -817,7 +818,7 @@
 	}
 	else if (now_us >= c->x.deadline_us) {
 		c->x.may_have_run |= c->state == CALL_SENDING && c->out && outbound_is_connected(c->out);
-		call_act(c, bh__exchange_process_deadline(&c->x));
+		call_act(c, bh__retry_state_process_deadline(&c->x));
 	}
 	else if (c->state == CALL_SUSPECTED && now_us >= c->suspected_us + JUDGEMENT_MS * BH__MS_US) {
 		place_(c);
@@ -833,8 +834,8 @@
 		call_on_permit(c, false, RETRY_SOON_MS * BH__MS_US);
 	}
 	else if (now_us >= overdue_us_(c)) {
-		if (bh__exchange_may_send_again(&c->x, now_us) && c->x.sendings + 1 < c->x.max_attempts) {
-			sending_end(c, BH__SENDING_SILENT);
+		if (bh__retry_state_may_dispatch_again(&c->x, now_us) && c->x.dispatches + 1 < c->x.max_attempts) {
+			sending_end(c, BH__DISPATCH_UNRESPONSIVE);
 			return;
 		}
 		c->heard_us = now_us; /* nowhere else to go: the endpoint is waited for */
--- a/src/bayhoist-gate/call_internal.h
+++ b/src/bayhoist-gate/call_internal.h
@@ -24,7 +24,7 @@
 	const BH__ServiceSpec *service;
 	const BH__KeyOwner *owner;   /* NULL: none */
 	BH__Fingerprint fingerprint; /* the same in each try of the same request */
-	BH__Exchange x;
+	BH__RetryState x;
 	CallState state;
 	CallPlace place;
 	bool queued;
@@ -44,7 +44,7 @@
 	uint64_t longest_pause_us; /* between what the endpoints sent of the answer */
 	uint64_t heard_us;         /* when the endpoint last sent something of the answer */
 	bool judged;               /* the sending's end is known before its connection's */
-	BH__SendingEnd judgement;
+	BH__DispatchEnd judgement;
 	OutboundHead head;     /* of the answer; `headers` is our own copy */
 	struct evbuffer *body; /* of an answer that is kept until it is whole; or the rest of an event */
 	bool passing;          /* the answer goes on as it comes */
@@ -57,12 +57,12 @@
 
 /* call.c */
 bool call_endpoint_is_usable(const Call *c, uint64_t endpoint_id);
-void call_act(Call *c, BH__Next next);
+void call_act(Call *c, BH__NextAction next);
 void call_set_timer(Call *c, uint64_t now_us);
 
 /* sending.c */
 void sending_start(Call *c, uint64_t endpoint_id);
-void sending_end(Call *c, BH__SendingEnd end);
+void sending_end(Call *c, BH__DispatchEnd end);
 void sending_begin_answer(Call *c);
 
 #endif
--- a/src/bayhoist-gate/cluster.c
+++ b/src/bayhoist-gate/cluster.c
@@ -336,17 +336,17 @@
 	}
 	case BH__MESSAGE_RELEASE:
 	case BH__MESSAGE_PROGRESS:
-	case BH__MESSAGE_PASS:
+	case BH__MESSAGE_ITERATION:
 	case BH__MESSAGE_WITHDRAW:
 		schedulers_process_release(c, m, now_us);
 		break;
 	case BH__MESSAGE_HOLD:
 		schedulers_process_hold(c, m, now_us);
 		break;
-	case BH__MESSAGE_LOOK_ASK:
+	case BH__MESSAGE_SYNC_ASK:
 		bh__looks_process_ask(looks_get(c->gate->looks), m, now_us);
 		break;
-	case BH__MESSAGE_LOOK:
+	case BH__MESSAGE_SYNC:
 		bh__looks_process_answer(looks_get(c->gate->looks), m, now_us);
 		break;
 	case BH__MESSAGE_READER:
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -11,7 +11,7 @@
 #include <glib.h>
 #include "bayhoist/answer_time.h"
 #include "bayhoist/caller_time.h"
-#include "bayhoist/exchange.h"
+#include "bayhoist/retry_state.h"
 #include "bayhoist/fingerprint.h"
 #include "bayhoist/histogram.h"
 #include "bayhoist/knowledge.h"
@@ -38,8 +38,8 @@
 typedef struct {
 	uint64_t requests;
 	uint64_t outcomes[CALL_OUTCOME_COUNT];
-	uint64_t sendings;
-	uint64_t sending_ends[BH__SENDING_END_COUNT];
+	uint64_t dispatches;
+	uint64_t sending_ends[BH__DISPATCH_END_COUNT];
 	uint64_t repeats;
 	uint64_t resumes;
 	uint64_t local_grants; /* decided without the scheduler */
@@ -80,7 +80,7 @@
 	uint64_t registry_seen;      /* version that the planners follow */
 	uint64_t halls_seen;         /* version of what was logged of halls that drain */
 	BH__Place place_seen;        /* in the store's history, as far as the registry showed it */
-	GHashTable *budgets;         /* BH__RepeatBudget by service name */
+	GHashTable *budgets;         /* BH__ServiceRetryBudget by service name */
 	GHashTable *route_times;     /* RouteTimes by route name */
 	GHashTable *calls;           /* set of live Call */
 	GHashTable *unknown_headers; /* uint64_t, how often an endpoint's answer had one, by its name */
@@ -110,7 +110,7 @@
 void gate_presume_node(Gate *g, const char *duty, const BH__MemberInfo *info);
 void gate_note_duties(Gate *g);
 void gate_learn_held(Gate *g, const BH__QuarantineEntry *aged);
-BH__RepeatBudget *gate_get_budget(Gate *g, const char *service);
+BH__ServiceRetryBudget *gate_get_budget(Gate *g, const char *service);
 
 /* inbound.c */
 typedef struct {
--- a/src/bayhoist-gate/limits.c
+++ b/src/bayhoist-gate/limits.c
@@ -73,9 +73,9 @@
 	}
 }
 
-/* Asks the home of a call's endpoint for leave to send to it, within `patience_us`. The answer comes to
+/* Asks the home of a call's endpoint for leave to send to it, within `max_wait_us`. The answer comes to
  * call.c, maybe before this returns. */
-void cluster_ask_permit(Cluster *c, Call *call, const BH__RegisteredEndpoint *e, uint64_t patience_us)
+void cluster_ask_permit(Cluster *c, Call *call, const BH__RegisteredEndpoint *e, uint64_t max_wait_us)
 {
 	const BH__MemberInfo *self = bh__members_get_self(c->members);
 	CallPlace *p = call_get_place(call);
@@ -86,8 +86,8 @@
 	p->asked_node = limits_find_home(c, e->entry.service);
 	g_hash_table_insert(c->by_ask, &p->ask.ask_id, call);
 	m.as.permit_ask.ask_id = p->ask.ask_id;
-	m.as.permit_ask.patience_us = patience_us;
-	m.as.permit_ask.limit = bh__signal_news(BH__SIGNAL_LIMIT, e, clock_now_us());
+	m.as.permit_ask.max_wait_us = max_wait_us;
+	m.as.permit_ask.limit = bh__signal_update_make(BH__SIGNAL_LIMIT, e, clock_now_us());
 	cluster_send(c, p->asked_node, &m);
 	cluster_drain_inbox(c);
 }
@@ -95,17 +95,17 @@
 /* A node asks for leave to send. It may know of a limit of which this one does not. */
 static void process_ask_(Cluster *c, const BH__Message *m, uint64_t now_us)
 {
-	const BH__SignalNews *n = &m->as.permit_ask.limit;
+	const BH__SignalUpdate *n = &m->as.permit_ask.limit;
 	BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, n->endpoint_id);
 	BH__Message out = {.type = BH__MESSAGE_PERMIT};
 
 	if (n->in_force)
-		bh__signal_relay_take(c->signals->relay, n, now_us);
+		bh__signal_relay_merge(c->signals->relay, n, now_us);
 	out.as.permit.ask_id = m->as.permit_ask.ask_id;
 	if (e) {
 		bh__endpoint_rate_set_part(&e->rate, home_part_(c, e->entry.service, now_us), now_us);
 		out.as.permit.granted =
-			bh__endpoint_rate_promise(&e->rate, m->as.permit_ask.patience_us, now_us, &out.as.permit.wait_us);
+			bh__endpoint_rate_promise(&e->rate, m->as.permit_ask.max_wait_us, now_us, &out.as.permit.wait_us);
 	}
 	if (!e || out.as.permit.wait_us == BH__LIMIT_NO_END)
 		out.as.permit.wait_us = OTHER_HOME_WAIT_US;
--- a/src/bayhoist-gate/looks.c
+++ b/src/bayhoist-gate/looks.c
@@ -186,19 +186,19 @@
 	uint64_t now_us = clock_now_us();
 	char place[BH__PLACE_TEXT_LEN];
 
-	for (uint32_t i = 0; !m->as.look.whole && i < MIN(m->as.look.count, NAMED_MAX); i++)
-		g_string_append_printf(names, "%s%s:%s", i ? "," : "", m->as.look.fact[i].entry.id,
-							   m->as.look.fact[i].entry.draining ? "draining" : "ready");
-	for (uint32_t i = 0; i < MIN(m->as.look.gone_count, NAMED_MAX); i++) {
-		const BH__RegisteredEndpoint *e = bh__registry_find(g->registry, m->as.look.gone[i].endpoint_id);
+	for (uint32_t i = 0; !m->as.sync.is_complete && i < MIN(m->as.sync.count, NAMED_MAX); i++)
+		g_string_append_printf(names, "%s%s:%s", i ? "," : "", m->as.sync.fact[i].entry.id,
+							   m->as.sync.fact[i].entry.draining ? "draining" : "ready");
+	for (uint32_t i = 0; i < MIN(m->as.sync.gone_count, NAMED_MAX); i++) {
+		const BH__RegisteredEndpoint *e = bh__registry_find(g->registry, m->as.sync.gone[i].endpoint_id);
 		if (e)
 			g_string_append_printf(names, "%s%s:gone", names->len ? "," : "", e->entry.id);
 	}
 	log_event("looks",
 			  "what=endpoints-told node=%s count=%u gone=%u whole=%s place=%s"
 			  " knew=%u age_ms=%" G_GUINT64_FORMAT " named=%s",
-			  info ? info->name : "", m->as.look.count, m->as.look.gone_count,
-			  m->as.look.whole ? "yes" : "no", bh__place_write(m->as.look.place, place), was_count,
+			  info ? info->name : "", m->as.sync.count, m->as.sync.gone_count,
+			  m->as.sync.is_complete ? "yes" : "no", bh__place_write(m->as.sync.place, place), was_count,
 			  (now_us - MIN(now_us, bh__looks_get_known_us(g->looks->looks))) / BH__MS_US, names->str);
 	g_string_free(names, TRUE);
 }
--- a/src/bayhoist-gate/main.c
+++ b/src/bayhoist-gate/main.c
@@ -271,16 +271,16 @@
 }
 
 /* Returns the budget of repeated sendings to a service, of which this node has an even part. */
-BH__RepeatBudget *gate_get_budget(Gate *g, const char *service)
+BH__ServiceRetryBudget *gate_get_budget(Gate *g, const char *service)
 {
-	BH__RepeatBudget *b = g_hash_table_lookup(g->budgets, service);
+	BH__ServiceRetryBudget *b = g_hash_table_lookup(g->budgets, service);
 
 	if (!b) {
-		b = g_new0(BH__RepeatBudget, 1);
-		bh__repeat_budget_init(b, g->settings.repeat_share, g->settings.repeat_extra);
+		b = g_new0(BH__ServiceRetryBudget, 1);
+		bh__service_retry_budget_init(b, g->settings.repeat_share, g->settings.repeat_extra);
 		g_hash_table_insert(g->budgets, g_strdup(service), b);
 	}
-	bh__repeat_budget_set_nodes(b, g->settings.repeat_extra, cluster_count_nodes(g->cluster));
+	bh__service_retry_budget_set_nodes(b, g->settings.repeat_extra, cluster_count_nodes(g->cluster));
 	return b;
 }
 
--- a/src/bayhoist-gate/schedulers.c
+++ b/src/bayhoist-gate/schedulers.c
@@ -17,7 +17,7 @@
 static void set_engine_(Service *s, const BH__RegisteredEndpoint *e, uint64_t now_us);
 static void move_asks_(Cluster *c, const Service *s);
 static void hand_over_(Cluster *c, Service *s, uint64_t now_us);
-static void send_hold_(Cluster *c, const Service *s, GArray *grants, bool full, bool whole);
+static void send_hold_(Cluster *c, const Service *s, GArray *grants, bool full, bool is_complete);
 static void on_recorded_(void *service, bool recorded);
 static void note_unanswered_(Cluster *c, Service *s, uint64_t node_id);
 static void tell_(Cluster *c, Call *call, BH__Message *m);
@@ -261,13 +261,13 @@
 	g_array_unref(all);
 }
 
-static void send_hold_(Cluster *c, const Service *s, GArray *grants, bool full, bool whole)
+static void send_hold_(Cluster *c, const Service *s, GArray *grants, bool full, bool is_complete)
 {
 	BH__Message m = {.type = BH__MESSAGE_HOLD};
 
 	m.as.hold.pool_id = bh__planner_get_id(s->planner);
 	m.as.hold.full = full;
-	m.as.hold.whole = whole;
+	m.as.hold.is_complete = is_complete;
 	m.as.hold.count = grants->len;
 	m.as.hold.grant = (BH__Grant *)(void *)grants->data;
 	cluster_send(c, s->scheduler, &m);
@@ -308,7 +308,7 @@
 		return;
 	bh__planner_process_hold(s->planner, m->from_node, m->from_boot, m->as.hold.full, m->as.hold.grant,
 							 m->as.hold.count, now_us);
-	bh__takeover_note_told(&s->takeover, m->from_node, m->as.hold.whole, now_us);
+	bh__takeover_note_told(&s->takeover, m->from_node, m->as.hold.is_complete, now_us);
 	schedulers_process_early(c, now_us);
 }
 
@@ -403,18 +403,18 @@
 
 	if (!p->grant.grant_id)
 		return;
-	p->grant.writes = true;
+	p->grant.has_first_event = true;
 	tell_(c, call, &(BH__Message){.type = BH__MESSAGE_PROGRESS});
 }
 
 /* Tells the scheduler that the engine has just ended a long pass, for which the answer paused. */
-void cluster_tell_pass(Cluster *c, Call *call, uint64_t pass_us)
+void cluster_tell_pass(Cluster *c, Call *call, uint64_t iteration_us)
 {
-	BH__Message m = {.type = BH__MESSAGE_PASS};
+	BH__Message m = {.type = BH__MESSAGE_ITERATION};
 
-	if (!call_get_place(call)->grant.writes)
+	if (!call_get_place(call)->grant.has_first_event)
 		return;
-	m.as.release.pass_us = pass_us;
+	m.as.release.iteration_us = iteration_us;
 	tell_(c, call, &m);
 }
 
@@ -468,8 +468,8 @@
 		bh__planner_process_release(s->planner, m->as.release.grant_id, m->as.release.kind,
 									m->as.release.failed_endpoint, now_us);
 	}
-	else if (m->type == BH__MESSAGE_PASS)
-		bh__planner_process_iteration(s->planner, m->as.release.grant_id, m->as.release.pass_us, now_us);
+	else if (m->type == BH__MESSAGE_ITERATION)
+		bh__planner_process_iteration(s->planner, m->as.release.grant_id, m->as.release.iteration_us, now_us);
 	else if (m->type == BH__MESSAGE_PROGRESS)
 		bh__planner_process_progress(s->planner, m->as.release.grant_id, now_us);
 	else
--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/sending.c
@@ -21,14 +21,14 @@
 static void note_signals_(const Call *c);
 static void note_pause_(Call *c, uint64_t pause_us);
 static void on_end_(void *ctx, OutboundEnd end);
-static void report_(Call *c, BH__SendingEnd end, uint64_t at_fault);
-static BH__SendingEnd judge_head_(const Call *c, bool *judged);
-static BH__SendingEnd judge_end_(const Call *c, OutboundEnd end);
+static void report_(Call *c, BH__DispatchEnd end, uint64_t at_fault);
+static BH__DispatchEnd judge_head_(const Call *c, bool *judged);
+static BH__DispatchEnd judge_end_(const Call *c, OutboundEnd end);
 static void pass_events_(Call *c);
 static void pass_on_(Call *c, const char *data, size_t len);
 static void tell_progress_(Call *c);
 static uint64_t find_at_fault_(const Call *c);
-static void log_sending_(const Call *c, BH__SendingEnd end, BH__Next next, uint64_t now_us);
+static void log_sending_(const Call *c, BH__DispatchEnd end, BH__NextAction next, uint64_t now_us);
 
 static const OutboundCallbacks Callbacks_ = {.on_head = on_head_, .on_body = on_body_, .on_end = on_end_};
 
@@ -49,7 +49,7 @@
 	c->pauses = 0;
 	evbuffer_drain(c->body, evbuffer_get_length(c->body));
 	write_request_(c, e, out);
-	g->counters.sendings++;
+	g->counters.dispatches++;
 	c->endpoint_life = bh__registry_note_start(g->registry, endpoint_id);
 	log_send_(c, e);
 	c->out = outbound_start(g, e->entry.address, out, &Callbacks_, c);
@@ -72,7 +72,7 @@
 			  " sendings=%u after=%s left_ms=%" G_GUINT64_FORMAT " expected_ms=%" G_GUINT64_FORMAT
 			  " limit_per_s=%.3f helpers=%s",
 			  c->request->meta.request_id, e->entry.id, c->service->name, c->request->meta.prompt_tokens,
-			  c->x.sendings, c->events.last_id, (c->x.deadline_us - c->sent_us) / BH__MS_US,
+			  c->x.dispatches, c->events.last_id, (c->x.deadline_us - c->sent_us) / BH__MS_US,
 			  g->grant_id ? g->expected_us / BH__MS_US : 0,
 			  e->signals.named.in_force ? e->signals.named.per_s : -1.0, helpers->str);
 	g_string_free(helpers, TRUE);
@@ -146,7 +146,7 @@
 static void note_signals_(const Call *c)
 {
 	const AnswerMeta *m = &c->head.meta;
-	bool is_others = c->judged && c->judgement == BH__SENDING_BROKEN;
+	bool is_others = c->judged && c->judgement == BH__DISPATCH_BROKEN;
 	AnswerOrigin origin = {.endpoint_id = c->endpoint_id,
 						   .life = c->endpoint_life,
 						   .sent_us = c->sent_us,
@@ -207,29 +207,29 @@
 }
 
 /* Judges what the head alone tells. `*judged` is false if that is nothing. */
-static BH__SendingEnd judge_head_(const Call *c, bool *judged)
+static BH__DispatchEnd judge_head_(const Call *c, bool *judged)
 {
 	const AnswerMeta *m = &c->head.meta;
 	bool is_ours = !m->request_id[0] || !strcmp(m->request_id, c->request->meta.request_id);
 
 	*judged = true;
 	if (m->not_run || c->gate->port->status_says_not_run(c->head.status))
-		return BH__SENDING_REFUSED;
+		return BH__DISPATCH_REFUSED;
 	if (!is_ours || (c->head.status / 100 == 2 && (!m->mac[0] || !m->request_id[0]))) {
 		c->gate->counters.bad_frames++;
-		return BH__SENDING_BROKEN;
+		return BH__DISPATCH_BROKEN;
 	}
 	*judged = false;
-	return BH__SENDING_BROKEN;
+	return BH__DISPATCH_BROKEN;
 }
 
-static BH__SendingEnd judge_end_(const Call *c, OutboundEnd end)
+static BH__DispatchEnd judge_end_(const Call *c, OutboundEnd end)
 {
 	if (end == OUTBOUND_UNREACHABLE)
-		return BH__SENDING_UNREACHABLE;
+		return BH__DISPATCH_UNREACHABLE;
 	if (end == OUTBOUND_BROKEN || (c->passing && evbuffer_get_length(c->body) > 0))
-		return BH__SENDING_BROKEN;
-	return c->head.status >= 500 ? BH__SENDING_FAILED : BH__SENDING_ANSWERED;
+		return BH__DISPATCH_BROKEN;
+	return c->head.status >= 500 ? BH__DISPATCH_FAILED : BH__DISPATCH_ANSWERED;
 }
 
 /* Passes on the events that are whole. */
@@ -289,13 +289,13 @@
 }
 
 /* A sending is over: what it held is given back, and the next step taken. */
-void sending_end(Call *c, BH__SendingEnd end)
+void sending_end(Call *c, BH__DispatchEnd end)
 {
 	Gate *g = c->gate;
 	uint64_t now_us = clock_now_us();
-	bool failed = end != BH__SENDING_ANSWERED && end != BH__SENDING_FAILED && end != BH__SENDING_STOPPED;
+	bool failed = end != BH__DISPATCH_ANSWERED && end != BH__DISPATCH_FAILED && end != BH__DISPATCH_STOPPED;
 	uint64_t at_fault = c->endpoint_id;
-	BH__Next next;
+	BH__NextAction next;
 
 	if (c->out)
 		outbound_cancel(c->out);
@@ -303,36 +303,36 @@
 	c->paused = false;
 	g->counters.sending_ends[end]++;
 	bh__registry_note_end(g->registry, c->endpoint_id, c->endpoint_life,
-						  end == BH__SENDING_ANSWERED  ? BH__USE_SERVED
-						  : end == BH__SENDING_REFUSED ? BH__USE_REFUSED
-						  : end == BH__SENDING_STOPPED ? BH__USE_ABANDONED
-													   : BH__USE_FAILED,
+						  end == BH__DISPATCH_ANSWERED  ? BH__USE_SERVED
+						  : end == BH__DISPATCH_REFUSED ? BH__USE_REFUSED
+						  : end == BH__DISPATCH_STOPPED ? BH__USE_ABANDONED
+														: BH__USE_FAILED,
 						  now_us);
-	if (end == BH__SENDING_REFUSED)
+	if (end == BH__DISPATCH_REFUSED)
 		at_fault = find_at_fault_(c);
 	report_(c, end, at_fault);
 	memory_hold_delete(c->memory);
 	c->memory = NULL;
 	cluster_release(g->cluster, c,
-					end == BH__SENDING_BROKEN ? BH__RELEASE_LOST
-					: failed                  ? BH__RELEASE_FAILED
-											  : BH__RELEASE_DONE,
+					end == BH__DISPATCH_BROKEN ? BH__RELEASE_LOST
+					: failed                   ? BH__RELEASE_FAILED
+											   : BH__RELEASE_DONE,
 					failed ? at_fault : BH__NO_ENDPOINT);
-	bh__exchange_note_tried(&c->x, at_fault);
-	next = bh__exchange_process_end(&c->x, end, gate_get_budget(g, c->service->name), now_us);
+	bh__retry_state_note_tried(&c->x, at_fault);
+	next = bh__retry_state_process_end(&c->x, end, gate_get_budget(g, c->service->name), now_us);
 	log_sending_(c, end, next, now_us);
 	call_act(c, next);
 }
 
 /* Tells what the end of a sending says of the request: an endpoint that broke off, or a helper that is gone,
  * may have crashed under it. An answer that is not the caller's is no such sign, since its endpoint lives. */
-static void report_(Call *c, BH__SendingEnd end, uint64_t at_fault)
+static void report_(Call *c, BH__DispatchEnd end, uint64_t at_fault)
 {
 	Crashes *crashes = c->gate->crashes;
-	bool broke = end == BH__SENDING_BROKEN && !c->judged;
-	bool helper_gone = end == BH__SENDING_REFUSED && at_fault != c->endpoint_id;
+	bool broke = end == BH__DISPATCH_BROKEN && !c->judged;
+	bool helper_gone = end == BH__DISPATCH_REFUSED && at_fault != c->endpoint_id;
 
-	if (end == BH__SENDING_ANSWERED)
+	if (end == BH__DISPATCH_ANSWERED)
 		crashes_note_served(crashes, c->service->name, &c->fingerprint, c->was_broken);
 	if (!broke && !helper_gone)
 		return;
@@ -351,12 +351,12 @@
 	return e ? e->endpoint_id : c->endpoint_id;
 }
 
-static void log_sending_(const Call *c, BH__SendingEnd end, BH__Next next, uint64_t now_us)
+static void log_sending_(const Call *c, BH__DispatchEnd end, BH__NextAction next, uint64_t now_us)
 {
 	const BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, c->endpoint_id);
 	char cause[CAUSE_MAX + 1] = "";
 
-	if (end == BH__SENDING_REFUSED) {
+	if (end == BH__DISPATCH_REFUSED) {
 		ev_ssize_t n = evbuffer_copyout(c->body, cause, CAUSE_MAX);
 		cause[MAX(n, 0)] = '\0';
 		g_strdelimit(cause, "\"\\\r\n", ' ');
@@ -364,9 +364,9 @@
 	log_event("sent",
 			  "request=%s endpoint=%s end=%s status=%d sendings=%u took_ms=%" G_GUINT64_FORMAT
 			  " next=%s at_fault=%s events=%" G_GUINT64_FORMAT " cause=\"%s\"",
-			  c->request->meta.request_id, e ? e->entry.id : "gone", BH__SendingEndString[end],
-			  end == BH__SENDING_UNREACHABLE ? 0 : c->head.status, c->x.sendings,
-			  (now_us - c->sent_us) / BH__MS_US, BH__NextString[next], c->head.meta.at_fault,
+			  c->request->meta.request_id, e ? e->entry.id : "gone", BH__DispatchEndString[end],
+			  end == BH__DISPATCH_UNREACHABLE ? 0 : c->head.status, c->x.dispatches,
+			  (now_us - c->sent_us) / BH__MS_US, BH__NextActionString[next], c->head.meta.at_fault,
 			  c->events.events, cause);
 }
 
--- a/src/bayhoist-gate/signals.c
+++ b/src/bayhoist-gate/signals.c
@@ -57,7 +57,7 @@
 	if (!heard.in_force && !o->is_served)
 		return;
 	heard.heard_us = heard.in_force ? o->heard_us : o->sent_us;
-	if (!bh__signal_relay_hear_limit(g->cluster->signals->relay, e, &heard, clock_now_us()))
+	if (!bh__signal_relay_receive_limit(g->cluster->signals->relay, e, &heard, clock_now_us()))
 		return;
 	schedulers_follow_limits(g->cluster, e);
 	g->counters.limit_changes++;
@@ -70,7 +70,7 @@
 static void take_leaving_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
 {
 	if (s->state != BH__SIGNAL_GIVEN || s->value <= 0 ||
-		!bh__signal_relay_hear_leaving(g->cluster->signals->relay, e, clock_now_us()))
+		!bh__signal_relay_receive_leaving(g->cluster->signals->relay, e, clock_now_us()))
 		return;
 	log_event("signal", "kind=leaving what=heard endpoint=%s born_ms=%" G_GUINT64_FORMAT " request=%s",
 			  e->entry.id, e->entry.born_ms, o->request_id);
@@ -92,7 +92,7 @@
 			  "kind=backoff what=heard endpoint=%s for_ms=%.0f was_ms=%" G_GUINT64_FORMAT " request=%s",
 			  e->entry.id, s->value * 1000, (was_until_us - o->heard_us) / BH__MS_US, o->request_id);
 	if (!schedulers_has_service(g->cluster, e->entry.service)) /* a scheduler hears of it by the release */
-		bh__signal_relay_hear_overload(g->cluster->signals->relay, e, until_us, clock_now_us());
+		bh__signal_relay_receive_overload(g->cluster->signals->relay, e, until_us, clock_now_us());
 }
 
 /* What is known of endpoints has changed: the planners follow before anything else is granted. */
@@ -107,7 +107,7 @@
 	Signals *s = g_new0(Signals, 1);
 
 	s->port =
-		(BH__SignalRelayPort){.send = relay_send_, .find_home = relay_find_home_, .learnt = relay_learnt_};
+		(BH__SignalRelayPort){.send = relay_send_, .find_home = relay_find_home_, .merged = relay_learnt_};
 	s->cluster = c;
 	s->relay = bh__signal_relay_new(&s->port, c->members, c->gate->registry);
 	return s;
@@ -158,7 +158,7 @@
 /* A node is there that may know nothing yet. */
 void signals_tell_node(Signals *s, uint64_t node_id)
 {
-	bh__signal_relay_tell_node(s->relay, node_id, clock_now_us());
+	bh__signal_relay_notify_node(s->relay, node_id, clock_now_us());
 }
 
 /* An endpoint's answer has a header that nobody here knows: what it says may bind the gateway one day. */
--- a/src/bayhoist-gate/web.c
+++ b/src/bayhoist-gate/web.c
@@ -171,7 +171,7 @@
 		const char *name;
 		uint64_t value;
 	} all[] = {{"requests_total", k->requests},
-			   {"sendings_total", k->sendings},
+			   {"sendings_total", k->dispatches},
 			   {"repeats_total", k->repeats},
 			   {"resumes_total", k->resumes},
 			   {"local_grants_total", k->local_grants},
@@ -193,15 +193,15 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(all); i++)
 		evbuffer_add_printf(out, "bayhoist_%s %" G_GUINT64_FORMAT "\n", all[i].name, all[i].value);
-	for (int i = 0; i < BH__SENDING_END_COUNT; i++)
+	for (int i = 0; i < BH__DISPATCH_END_COUNT; i++)
 		evbuffer_add_printf(out, "bayhoist_sending_ends_total{end=\"%s\"} %" G_GUINT64_FORMAT "\n",
-							BH__SendingEndString[i], k->sending_ends[i]);
+							BH__DispatchEndString[i], k->sending_ends[i]);
 	for (int i = 0; i < CALL_OUTCOME_COUNT; i++)
 		evbuffer_add_printf(out, "bayhoist_outcomes_total{outcome=\"%s\"} %" G_GUINT64_FORMAT "\n",
 							OutcomeString_[i], k->outcomes[i]);
 	g_hash_table_iter_init(&it, g->budgets);
 	while (g_hash_table_iter_next(&it, &name, &budget)) {
-		const BH__RepeatBudget *b = budget;
+		const BH__ServiceRetryBudget *b = budget;
 		evbuffer_add_printf(out,
 							"bayhoist_repeat_budget{service=\"%s\",what=\"spent\"} %" G_GUINT64_FORMAT "\n"
 							"bayhoist_repeat_budget{service=\"%s\",what=\"denied\"} %" G_GUINT64_FORMAT "\n",
--- a/src/bench/policy_sim.c
+++ b/src/bench/policy_sim.c
@@ -167,7 +167,7 @@
 		return;
 	}
 	r->first_us = now_us;
-	if (s->policy == POLICY_BAYHOIST && r->grant.tells_progress)
+	if (s->policy == POLICY_BAYHOIST && r->grant.reports_progress)
 		bh__pool_process_progress(s->pool[r->hall].pool, r->grant.grant_id, now_us);
 }
 
--- a/src/libbayhoist/attempt.c
+++ b/src/libbayhoist/attempt.c
@@ -148,7 +148,7 @@
 
 	m.as.release.pool_id = g->pool_id;
 	m.as.release.grant_id = g->grant_id;
-	if (g->tells_progress)
+	if (g->reports_progress)
 		send_to_scheduler_(n, g->pool_id, &m);
 }
 
--- a/src/libbayhoist/include/private/node_internal.h
+++ b/src/libbayhoist/include/private/node_internal.h
@@ -120,11 +120,11 @@
 bool bh__node_endpoint_leaves(const BH__Node *n, const BH__Resource *endpoint);
 
 /* spread.c */
-void bh__spread_hear_revision(BH__Node *n, uint64_t node_id, uint64_t revision);
-void bh__spread_process_config_ask(BH__Node *n, const BH__Message *m);
-void bh__spread_process_config_data(BH__Node *n, const BH__Message *m);
-void bh__spread_process_quota_ask(BH__Node *n, const BH__Message *m);
-void bh__spread_send_quota_asks(BH__Node *n);
+void bh__peer_sync_receive_revision(BH__Node *n, uint64_t node_id, uint64_t revision);
+void bh__peer_sync_process_config_ask(BH__Node *n, const BH__Message *m);
+void bh__peer_sync_process_config_data(BH__Node *n, const BH__Message *m);
+void bh__peer_sync_process_quota_ask(BH__Node *n, const BH__Message *m);
+void bh__peer_sync_send_quota_asks(BH__Node *n);
 
 /* request.c */
 void bh__requests_process_tick(BH__Node *n);
--- a/src/libbayhoist/ledger.c
+++ b/src/libbayhoist/ledger.c
@@ -75,7 +75,7 @@
 
 	entry->grant = *g;
 	entry->granted_us = now_us;
-	entry->prefilling = begins && g->tells_progress ? 0 : g->member_count;
+	entry->prefilling = begins && g->reports_progress ? 0 : g->member_count;
 	g_hash_table_insert(l->entries, &entry->grant.grant_id, entry);
 	for (unsigned i = 0; i < g->member_count; i++) {
 		BH__Engine *e = bh__engines_find(l->engines, g->member[i].endpoint_id);
--- a/src/libbayhoist/looks.c
+++ b/src/libbayhoist/looks.c
@@ -121,7 +121,7 @@
 static void answer_(BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us);
 static const BH__PackedText *packed_configuration_(BH__Looks *l, uint64_t version);
 static void add_facts_(const BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us, GArray *facts,
-					   GArray *departures, bool *whole);
+					   GArray *departures, bool *is_complete);
 static void fill_halls_(const BH__Looks *l, BH__Message *m);
 static void take_halls_(BH__Looks *l, const BH__Message *m, uint64_t now_us);
 static void take_configuration_(BH__Looks *l, const BH__Message *m, uint64_t looked_us);
@@ -398,7 +398,7 @@
 	uint64_t next[BH__SOURCE_NEXT_MAX];
 	unsigned count = bh__source_list_next(l->members, reader, next);
 
-	news.as.look.reader = reader;
+	news.as.sync.reader = reader;
 	for (unsigned i = 0; i < count; i++)
 		l->port->send(l->port, next[i], &news);
 }
@@ -406,9 +406,9 @@
 /* Another node says who reads the platform for all. It is told on, and asked what it knows from now on. */
 void bh__looks_process_reader(BH__Looks *l, const BH__Message *m, uint64_t now_us)
 {
-	if (!bh__source_note_reader(&l->source, l->members, m->as.look.reader, m->from_node, now_us))
+	if (!bh__source_note_reader(&l->source, l->members, m->as.sync.reader, m->from_node, now_us))
 		return;
-	tell_next_(l, m->as.look.reader);
+	tell_next_(l, m->as.sync.reader);
 	l->asked_us = 0;
 	follow_source_(l, now_us);
 	if (bh__source_asks(&l->source, l->members))
@@ -491,19 +491,19 @@
 /* Asks a node, which may keep the question for so long. */
 static void send_question_(BH__Looks *l, uint64_t node, uint64_t hold_us, uint64_t now_us)
 {
-	BH__Message m = {.type = BH__MESSAGE_LOOK_ASK};
+	BH__Message m = {.type = BH__MESSAGE_SYNC_ASK};
 	uint64_t version = l->port->get_configuration(l->port).version;
 
 	l->asked_us = now_us;
 	l->asks_back = node != l->source.node;
 	l->answer_until_us = now_us + hold_us + ANSWER_US_;
-	m.as.look.asked_us = now_us;
-	m.as.look.held_us = hold_us;
-	m.as.look.lost = bh__source_is_platform_away(&l->source);
-	m.as.look.configuration_version = MAX(version, l->refused_version);
-	m.as.look.place = bh__registry_get_place(l->registry);
-	m.as.look.era_start = bh__registry_get_era_start(l->registry);
-	m.as.look.registry_age_us = now_us - l->known_us;
+	m.as.sync.asked_us = now_us;
+	m.as.sync.hold_time_us = hold_us;
+	m.as.sync.platform_unavailable = bh__source_is_platform_away(&l->source);
+	m.as.sync.configuration_version = MAX(version, l->refused_version);
+	m.as.sync.place = bh__registry_get_place(l->registry);
+	m.as.sync.era_start = bh__registry_get_era_start(l->registry);
+	m.as.sync.registry_age_us = now_us - l->known_us;
 	fill_halls_(l, &m);
 	l->port->send(l->port, node, &m);
 }
@@ -512,9 +512,9 @@
  * knows more is not to matter. */
 static void fill_halls_(const BH__Looks *l, BH__Message *m)
 {
-	m->as.look.hall_count = bh__registry_get_hall_count(l->registry);
-	if (m->as.look.hall_count)
-		m->as.look.hall = (BH__HallDrain *)bh__registry_get_hall(l->registry, 0);
+	m->as.sync.hall_count = bh__registry_get_hall_count(l->registry);
+	if (m->as.sync.hall_count)
+		m->as.sync.hall = (BH__HallDrain *)bh__registry_get_hall(l->registry, 0);
 }
 
 /* Takes what another node knows of halls that drain. */
@@ -522,9 +522,9 @@
 {
 	uint64_t was = bh__registry_get_halls_version(l->registry);
 
-	for (uint32_t i = 0; i < m->as.look.hall_count; i++)
-		bh__registry_put_hall(l->registry, m->as.look.hall[i].name, m->as.look.hall[i].draining,
-							  m->as.look.hall[i].changed, now_us);
+	for (uint32_t i = 0; i < m->as.sync.hall_count; i++)
+		bh__registry_put_hall(l->registry, m->as.sync.hall[i].name, m->as.sync.hall[i].draining,
+							  m->as.sync.hall[i].changed, now_us);
 	if (bh__registry_get_halls_version(l->registry) != was)
 		l->port->learnt(l->port);
 }
@@ -533,17 +533,17 @@
 void bh__looks_process_ask(BH__Looks *l, const BH__Message *ask, uint64_t now_us)
 {
 	HeldQuestion_ q = {.node = ask->from_node,
-					   .asked_us = ask->as.look.asked_us,
+					   .asked_us = ask->as.sync.asked_us,
 					   .arrived_us = now_us,
-					   .until_us = now_us + MIN(ask->as.look.held_us, HOLD_MAX_US_),
-					   .configuration_version = ask->as.look.configuration_version,
-					   .place = ask->as.look.place,
-					   .knows_away = ask->as.look.lost,
-					   .known_us = now_us - MIN(now_us, ask->as.look.registry_age_us)};
+					   .until_us = now_us + MIN(ask->as.sync.hold_time_us, HOLD_MAX_US_),
+					   .configuration_version = ask->as.sync.configuration_version,
+					   .place = ask->as.sync.place,
+					   .knows_away = ask->as.sync.platform_unavailable,
+					   .known_us = now_us - MIN(now_us, ask->as.sync.registry_age_us)};
 
 	take_halls_(l, ask, now_us);
 	q.knows_less_halls =
-		bh__registry_knows_more_of_halls(l->registry, ask->as.look.hall, ask->as.look.hall_count);
+		bh__registry_knows_more_of_halls(l->registry, ask->as.sync.hall, ask->as.sync.hall_count);
 	q.halls_version = bh__registry_get_halls_version(l->registry);
 	for (guint i = l->held->len; i-- > 0;)
 		if (g_array_index(l->held, HeldQuestion_, i).node == q.node)
@@ -598,26 +598,26 @@
 static void answer_(BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us)
 {
 	BH__LooksConfiguration c = l->port->get_configuration(l->port);
-	BH__Message m = {.type = BH__MESSAGE_LOOK};
+	BH__Message m = {.type = BH__MESSAGE_SYNC};
 	GArray *facts = g_array_new(FALSE, FALSE, sizeof(BH__EndpointFact));
 	GArray *departures = g_array_new(FALSE, FALSE, sizeof(BH__EndpointDeparture));
 
-	m.as.look.asked_us = q->asked_us;
-	m.as.look.held_us = now_us - q->arrived_us;
-	m.as.look.configuration_version = c.version;
-	m.as.look.configuration_age_us = now_us - c.looked_us;
-	if (m.as.look.configuration_version > q->configuration_version)
-		m.as.look.configuration = *packed_configuration_(l, c.version);
-	m.as.look.place = bh__registry_get_place(l->registry);
-	m.as.look.era_start = bh__registry_get_era_start(l->registry);
-	m.as.look.registry_age_us = now_us - l->known_us;
-	m.as.look.reader = l->told_reader ? l->told_reader : bh__members_get_self(l->members)->node_id;
-	m.as.look.lost = is_lost_(l);
-	add_facts_(l, q, now_us, facts, departures, &m.as.look.whole);
-	m.as.look.count = facts->len;
-	m.as.look.fact = (BH__EndpointFact *)(void *)facts->data;
-	m.as.look.gone_count = departures->len;
-	m.as.look.gone = (BH__EndpointDeparture *)(void *)departures->data;
+	m.as.sync.asked_us = q->asked_us;
+	m.as.sync.hold_time_us = now_us - q->arrived_us;
+	m.as.sync.configuration_version = c.version;
+	m.as.sync.configuration_age_us = now_us - c.looked_us;
+	if (m.as.sync.configuration_version > q->configuration_version)
+		m.as.sync.configuration = *packed_configuration_(l, c.version);
+	m.as.sync.place = bh__registry_get_place(l->registry);
+	m.as.sync.era_start = bh__registry_get_era_start(l->registry);
+	m.as.sync.registry_age_us = now_us - l->known_us;
+	m.as.sync.reader = l->told_reader ? l->told_reader : bh__members_get_self(l->members)->node_id;
+	m.as.sync.platform_unavailable = is_lost_(l);
+	add_facts_(l, q, now_us, facts, departures, &m.as.sync.is_complete);
+	m.as.sync.count = facts->len;
+	m.as.sync.fact = (BH__EndpointFact *)(void *)facts->data;
+	m.as.sync.gone_count = departures->len;
+	m.as.sync.gone = (BH__EndpointDeparture *)(void *)departures->data;
 	fill_halls_(l, &m);
 	l->port->send(l->port, q->node, &m);
 	g_array_unref(facts);
@@ -637,15 +637,15 @@
 /* Adds what the asker of a question does not know of endpoints. A node that knows nothing of them tells
  * nothing. */
 static void add_facts_(const BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us, GArray *facts,
-					   GArray *departures, bool *whole)
+					   GArray *departures, bool *is_complete)
 {
 	const BH__Registry *r = l->registry;
 
-	*whole = false;
+	*is_complete = false;
 	if (bh__place_is_start(bh__registry_get_place(r)) ||
 		bh__registry_list_changes(r, q->place, now_us, facts, departures))
 		return;
-	*whole = true;
+	*is_complete = true;
 	for (unsigned i = 0; i < bh__registry_get_count(r); i++)
 		bh__registry_add_fact(r, i, now_us, facts);
 }
@@ -653,22 +653,23 @@
 /* The source answers. Its ages are taken as counted from the question and the time that it was kept. */
 void bh__looks_process_answer(BH__Looks *l, const BH__Message *m, uint64_t now_us)
 {
-	uint64_t seen_us = MIN(m->as.look.asked_us + m->as.look.held_us, now_us);
-	uint64_t registry_us = seen_us - MIN(seen_us, m->as.look.registry_age_us);
+	uint64_t seen_us = MIN(m->as.sync.asked_us + m->as.sync.hold_time_us, now_us);
+	uint64_t registry_us = seen_us - MIN(seen_us, m->as.sync.registry_age_us);
 
-	if (!l->asked_us || m->as.look.asked_us != l->asked_us)
+	if (!l->asked_us || m->as.sync.asked_us != l->asked_us)
 		return;
 	l->asked_us = 0;
 	take_halls_(l, m, now_us);
-	take_configuration_(l, m, seen_us - MIN(seen_us, m->as.look.configuration_age_us));
+	take_configuration_(l, m, seen_us - MIN(seen_us, m->as.sync.configuration_age_us));
 	if (l->asks_back)
 		return;
-	if (m->as.look.lost || !bh__source_is_young(&l->source, m->as.look.registry_age_us, endpoints_old_us_(l),
-												endpoints_period_us_(l))) {
+	if (m->as.sync.platform_unavailable ||
+		!bh__source_is_young(&l->source, m->as.sync.registry_age_us, endpoints_old_us_(l),
+							 endpoints_period_us_(l))) {
 		note_useless_(l, true, now_us);
 	}
 	else {
-		bh__source_note_useful(&l->source, m->as.look.reader, now_us);
+		bh__source_note_useful(&l->source, m->as.sync.reader, now_us);
 		take_facts_(l, m, registry_us, now_us);
 	}
 	follow_source_(l, now_us);
@@ -679,15 +680,15 @@
 static void take_configuration_(BH__Looks *l, const BH__Message *m, uint64_t looked_us)
 {
 	uint64_t version = l->port->get_configuration(l->port).version;
-	uint64_t told_version = m->as.look.configuration_version;
+	uint64_t told_version = m->as.sync.configuration_version;
 	char *text;
 
 	if (told_version == version && version)
 		l->port->confirm_configuration(l->port, looked_us);
-	if (!m->as.look.configuration.len || told_version <= version)
+	if (!m->as.sync.configuration.len || told_version <= version)
 		return;
-	text = bh__packed_text_open(&m->as.look.configuration);
-	bh__packed_text_copy(&l->packed, &m->as.look.configuration); /* those who ask this node get it as it is */
+	text = bh__packed_text_open(&m->as.sync.configuration);
+	bh__packed_text_copy(&l->packed, &m->as.sync.configuration); /* those who ask this node get it as it is */
 	l->packed_version = told_version;
 	if (!text)
 		l->port->said(l->port, BH__LOOKS_FOUND_DAMAGED, m->from_node);
@@ -702,26 +703,26 @@
 static void take_facts_(BH__Looks *l, const BH__Message *m, uint64_t looked_us, uint64_t now_us)
 {
 	BH__Registry *r = l->registry;
-	BH__Place place = m->as.look.place;
+	BH__Place place = m->as.sync.place;
 	unsigned was_count = bh__registry_get_count(r);
 	bool is_behind = bh__place_is_after(bh__registry_get_place(r), place);
 
 	if (bh__place_is_start(place))
 		return;
-	bh__registry_begin_era(r, m->as.look.era_start.era == place.era ? m->as.look.era_start : place);
-	for (uint32_t i = 0; i < m->as.look.count; i++)
-		bh__registry_put_fact(r, &m->as.look.fact[i], place, now_us);
-	for (uint32_t i = 0; i < m->as.look.gone_count; i++)
-		bh__registry_put_departure(r, &m->as.look.gone[i], place);
-	if (m->as.look.whole)
+	bh__registry_begin_era(r, m->as.sync.era_start.era == place.era ? m->as.sync.era_start : place);
+	for (uint32_t i = 0; i < m->as.sync.count; i++)
+		bh__registry_put_fact(r, &m->as.sync.fact[i], place, now_us);
+	for (uint32_t i = 0; i < m->as.sync.gone_count; i++)
+		bh__registry_put_departure(r, &m->as.sync.gone[i], place);
+	if (m->as.sync.is_complete)
 		keep_only_told_(r, m, now_us);
 	bh__registry_set_place(r, place);
-	if (m->as.look.count || m->as.look.gone_count)
+	if (m->as.sync.count || m->as.sync.gone_count)
 		l->port->was_told(l->port, m, was_count);
 	if (is_behind)
 		return;
 	if (looked_us > l->known_us)
-		l->told_reader = m->as.look.reader;
+		l->told_reader = m->as.sync.reader;
 	note_known_(l, looked_us);
 	l->port->learnt(l->port);
 }
@@ -731,10 +732,10 @@
 {
 	GHashTable *ids = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 
-	for (uint32_t i = 0; i < m->as.look.count; i++) {
-		uint64_t id = bh__hash_name(m->as.look.fact[i].entry.id);
+	for (uint32_t i = 0; i < m->as.sync.count; i++) {
+		uint64_t id = bh__hash_name(m->as.sync.fact[i].entry.id);
 		g_hash_table_add(ids, g_memdup2(&id, sizeof id));
 	}
-	bh__registry_keep_only(r, ids, m->as.look.place, now_us);
+	bh__registry_keep_only(r, ids, m->as.sync.place, now_us);
 	g_hash_table_unref(ids);
 }
--- a/src/libbayhoist/members.c
+++ b/src/libbayhoist/members.c
@@ -77,8 +77,8 @@
 static unsigned spread_(const BH__Members *m);
 static void sync_(BH__Members *m, uint64_t now_us);
 static unsigned part_(uint64_t node_id);
-static void hash_parts_(const BH__Members *m, uint64_t hash[BH__MEMBER_PARTS]);
-static uint64_t compare_parts_(const BH__Members *m, const uint64_t hash[BH__MEMBER_PARTS]);
+static void hash_parts_(const BH__Members *m, uint64_t hash[BH__MEMBER_PARTITIONS]);
+static uint64_t compare_parts_(const BH__Members *m, const uint64_t hash[BH__MEMBER_PARTITIONS]);
 static uint64_t hash_entry_(const BH__MemberInfo *info);
 static void join_seeds_(BH__Members *m, uint64_t now_us);
 static void join_(BH__Members *m, const char *address);
@@ -110,8 +110,8 @@
 static void tell_of_suspicion_(BH__Members *m, uint64_t node_id);
 static void on_ack_(BH__Members *m, const BH__Message *msg);
 static void on_ping_req_(BH__Members *m, const BH__Message *msg, uint64_t now_us);
-static bool is_in_parts_(uint64_t parts, uint64_t node_id);
-static void send_members_(BH__Members *m, const char *address, uint64_t parts);
+static bool is_in_parts_(uint64_t partitions, uint64_t node_id);
+static void send_members_(BH__Members *m, const char *address, uint64_t partitions);
 static void send_missing_(BH__Members *m, const BH__Message *table);
 
 /* Returns a membership of one: `self`. `seed` sets the order of probes. */
@@ -181,19 +181,19 @@
 
 static unsigned part_(uint64_t node_id)
 {
-	return (unsigned)(node_id / (UINT64_MAX / BH__MEMBER_PARTS + 1));
+	return (unsigned)(node_id / (UINT64_MAX / BH__MEMBER_PARTITIONS + 1));
 }
 
-static bool is_in_parts_(uint64_t parts, uint64_t node_id)
+static bool is_in_parts_(uint64_t partitions, uint64_t node_id)
 {
-	return parts >> part_(node_id) & 1;
+	return partitions >> part_(node_id) & 1;
 }
 
 /* Fills in a hash of what is known of the live members of each part, this node included; the order of members
  * does not matter. */
-static void hash_parts_(const BH__Members *m, uint64_t hash[BH__MEMBER_PARTS])
+static void hash_parts_(const BH__Members *m, uint64_t hash[BH__MEMBER_PARTITIONS])
 {
-	memset(hash, 0, BH__MEMBER_PARTS * sizeof *hash);
+	memset(hash, 0, BH__MEMBER_PARTITIONS * sizeof *hash);
 	hash[part_(m->self.info.node_id)] ^= hash_entry_(&m->self.info);
 	for (guint i = 0; i < m->entries->len; i++) {
 		const Entry_ *e = g_ptr_array_index(m->entries, i);
@@ -203,16 +203,16 @@
 }
 
 /* Returns the parts of which another node knows something else. */
-static uint64_t compare_parts_(const BH__Members *m, const uint64_t hash[BH__MEMBER_PARTS])
+static uint64_t compare_parts_(const BH__Members *m, const uint64_t hash[BH__MEMBER_PARTITIONS])
 {
-	uint64_t own[BH__MEMBER_PARTS];
-	uint64_t parts = 0;
+	uint64_t own[BH__MEMBER_PARTITIONS];
+	uint64_t partitions = 0;
 
 	hash_parts_(m, own);
-	for (unsigned i = 0; i < BH__MEMBER_PARTS; i++)
+	for (unsigned i = 0; i < BH__MEMBER_PARTITIONS; i++)
 		if (own[i] != hash[i])
-			parts |= (uint64_t)1 << i;
-	return parts;
+			partitions |= (uint64_t)1 << i;
+	return partitions;
 }
 
 static uint64_t hash_entry_(const BH__MemberInfo *info)
@@ -257,7 +257,7 @@
 	BH__Message msg = {.type = BH__MESSAGE_JOIN};
 
 	msg.as.join.self = m->self.info;
-	hash_parts_(m, msg.as.join.part_hash);
+	hash_parts_(m, msg.as.join.partition_hash);
 	send_(m, address, &msg);
 }
 
@@ -319,7 +319,7 @@
 		return;
 	if (e && e->info.state == BH__MEMBER_ALIVE) {
 		suspect_(m, e, now_us);
-		tell_all_(m, &e->info, BH__MESSAGE_NEWS_WAYS);
+		tell_all_(m, &e->info, BH__MESSAGE_UPDATE_TREES);
 		e->to_send = SPREAD_TOLD_;
 	}
 	probe_next_(m, now_us);
@@ -405,17 +405,17 @@
 
 static void fill_ping_(BH__Members *m, BH__Message *msg, BH__MessageType type, uint64_t sequence)
 {
-	Entry_ *news[BH__MESSAGE_UPDATES_MAX];
+	Entry_ *member_update[BH__MESSAGE_UPDATES_MAX];
 
 	memset(msg, 0, sizeof *msg);
 	msg->type = type;
 	msg->as.ping.sequence = sequence;
 	msg->as.ping.self = m->self.info;
 	msg->as.ping.quarantine_hash = m->quarantine_hash;
-	msg->as.ping.update_count = (uint8_t)newest_news_(m, news);
+	msg->as.ping.update_count = (uint8_t)newest_news_(m, member_update);
 	for (unsigned i = 0; i < msg->as.ping.update_count; i++) {
-		news[i]->to_send--;
-		msg->as.ping.update[i] = news[i]->info;
+		member_update[i]->to_send--;
+		msg->as.ping.update[i] = member_update[i]->info;
 	}
 }
 
@@ -470,24 +470,25 @@
  * suspected by others, who told all of that. */
 static void tell_all_(BH__Members *m, const BH__MemberInfo *info, unsigned ways)
 {
-	BH__Message news = {.type = BH__MESSAGE_NEWS};
+	BH__Message member_update = {.type = BH__MESSAGE_MEMBER_UPDATE};
 
-	news.as.news.member = *info;
-	tell_ways_(m, &news, ways);
+	member_update.as.member_update.member = *info;
+	tell_ways_(m, &member_update, ways);
 }
 
 /* Tells all nodes something at once; the message has an arc, which is filled in here. */
 void bh__members_tell_all(BH__Members *m, BH__Message *msg)
 {
-	tell_ways_(m, msg, BH__MESSAGE_NEWS_WAYS);
+	tell_ways_(m, msg, BH__MESSAGE_UPDATE_TREES);
 }
 
 static void tell_ways_(BH__Members *m, BH__Message *msg, unsigned ways)
 {
 	BH__Arc all = bh__ring_all_but(m->self.info.node_id);
 
-	for (unsigned way = 0; way < ways; way++) {
-		msg->as.arc = (BH__MessageArc){.first = all.first, .last = all.last, .way = (uint8_t)way};
+	for (unsigned tree_index = 0; tree_index < ways; tree_index++) {
+		msg->as.range =
+			(BH__MessageRange){.first = all.first, .last = all.last, .tree_index = (uint8_t)tree_index};
 		tell_arc_(m, msg);
 	}
 }
@@ -502,19 +503,19 @@
 /* Tells the nodes of a message's arc. */
 static void tell_arc_(BH__Members *m, const BH__Message *msg)
 {
-	BH__Arc arc = {.first = msg->as.arc.first, .last = msg->as.arc.last};
+	BH__Arc range = {.first = msg->as.range.first, .last = msg->as.range.last};
 	BH__RingStep step[BH__RING_FANOUT];
 	BH__Ring ring = {.id = (const uint64_t *)(const void *)m->ring_ids->data,
 					 .count = m->ring_ids->len,
 					 .lives = may_tell_,
 					 .ctx = m};
-	unsigned steps = bh__ring_split(&ring, arc, msg->as.arc.way, step);
+	unsigned steps = bh__ring_split(&ring, range, msg->as.range.tree_index, step);
 
 	for (unsigned i = 0; i < steps; i++) {
 		const Entry_ *e = g_hash_table_lookup(m->by_id, &ring.id[step[i].at]);
 		BH__Message out = *msg;
-		out.as.arc.first = step[i].piece.first;
-		out.as.arc.last = step[i].piece.last;
+		out.as.range.first = step[i].piece.first;
+		out.as.range.last = step[i].piece.last;
 		send_(m, e->info.peer_address, &out);
 	}
 }
@@ -528,7 +529,7 @@
 /* News that goes to all: it is taken, and passed on. */
 static void on_news_(BH__Members *m, const BH__Message *msg, uint64_t now_us)
 {
-	learn_(m, &msg->as.news.member, SPREAD_TOLD_, now_us);
+	learn_(m, &msg->as.member_update.member, SPREAD_TOLD_, now_us);
 	tell_arc_(m, msg);
 }
 
@@ -672,7 +673,7 @@
 		for (uint32_t i = 0; i < msg->as.members.count; i++)
 			learn_(m, &msg->as.members.member[i], spread_(m), now_us);
 		return true;
-	case BH__MESSAGE_NEWS:
+	case BH__MESSAGE_MEMBER_UPDATE:
 		on_news_(m, msg, now_us);
 		return true;
 	default:
@@ -690,7 +691,7 @@
 
 	if (learn_(m, info, tells ? SPREAD_TOLD_ : spread_(m), now_us) && tells)
 		tell_all_(m, info, 1);
-	send_members_(m, info->peer_address, compare_parts_(m, msg->as.join.part_hash));
+	send_members_(m, info->peer_address, compare_parts_(m, msg->as.join.partition_hash));
 }
 
 static bool is_young_(const BH__Members *m, uint64_t now_us)
@@ -749,19 +750,19 @@
 }
 
 /* Sends what is known of some parts, and this node itself, to a node that asks for it. */
-static void send_members_(BH__Members *m, const char *address, uint64_t parts)
+static void send_members_(BH__Members *m, const char *address, uint64_t partitions)
 {
 	BH__Message msg = {.type = BH__MESSAGE_MEMBERS};
 
-	if (!parts)
+	if (!partitions)
 		return;
 	msg.as.members.answers_join = true;
-	msg.as.members.parts = parts;
+	msg.as.members.partitions = partitions;
 	msg.as.members.member = g_new(BH__MemberInfo, m->entries->len + 1);
 	msg.as.members.member[msg.as.members.count++] = m->self.info;
 	for (guint i = 0; i < m->entries->len; i++) {
 		const Entry_ *e = g_ptr_array_index(m->entries, i);
-		if (!is_presumed_(e) && is_in_parts_(parts, e->info.node_id))
+		if (!is_presumed_(e) && is_in_parts_(partitions, e->info.node_id))
 			msg.as.members.member[msg.as.members.count++] = e->info;
 	}
 	send_(m, address, &msg);
@@ -781,7 +782,7 @@
 	for (guint i = 0; i < m->entries->len; i++) {
 		const Entry_ *e = g_ptr_array_index(m->entries, i);
 		const BH__MemberInfo *known = g_hash_table_lookup(told, &e->info.node_id);
-		if (is_presumed_(e) || e == sender || !is_in_parts_(table->as.members.parts, e->info.node_id) ||
+		if (is_presumed_(e) || e == sender || !is_in_parts_(table->as.members.partitions, e->info.node_id) ||
 			(known && !supersedes_(&e->info, known)))
 			continue;
 		if (known || e->info.state != BH__MEMBER_DEAD)
@@ -828,7 +829,7 @@
 /* Tells every live node at once what this one says of itself. */
 void bh__members_announce(BH__Members *m)
 {
-	tell_all_(m, &m->self.info, BH__MESSAGE_NEWS_WAYS);
+	tell_all_(m, &m->self.info, BH__MESSAGE_UPDATE_TREES);
 }
 
 const BH__MemberInfo *bh__members_get_self(const BH__Members *m)
--- a/src/libbayhoist/message.c
+++ b/src/libbayhoist/message.c
@@ -59,9 +59,9 @@
 static void suspect_(Codec_ *c, BH__Message *m);
 static void quarantine_entry_(Codec_ *c, BH__QuarantineEntry *e);
 static void quarantine_(Codec_ *c, BH__Message *m);
-static void range_(Codec_ *c, BH__MessageArc *a);
+static void range_(Codec_ *c, BH__MessageRange *a);
 static void signals_(Codec_ *c, BH__Message *m);
-static void signal_update_(Codec_ *c, BH__SignalNews *n);
+static void signal_update_(Codec_ *c, BH__SignalUpdate *n);
 static void permit_ask_(Codec_ *c, BH__Message *m);
 static void permit_(Codec_ *c, BH__Message *m);
 static void body_(Codec_ *c, BH__Message *m);
@@ -281,8 +281,8 @@
 	u64_(c, &g->boot_id);
 	u32_(c, &g->priority_level);
 	flag_(c, &g->is_long);
-	flag_(c, &g->tells_progress);
-	flag_(c, &g->writes);
+	flag_(c, &g->reports_progress);
+	flag_(c, &g->has_first_event);
 	u64_(c, &g->event_gap_us);
 	u64_(c, &g->expected_us);
 	u64_(c, &g->age_us);
@@ -300,7 +300,7 @@
 {
 	u64_(c, &m->as.hold.pool_id);
 	flag_(c, &m->as.hold.full);
-	flag_(c, &m->as.hold.whole);
+	flag_(c, &m->as.hold.is_complete);
 	m->as.hold.grant = list_(c, &m->as.hold.count, m->as.hold.grant, sizeof *m->as.hold.grant);
 	for (uint32_t i = 0; i < m->as.hold.count && !c->failed; i++) {
 		if (m->as.hold.full)
@@ -367,34 +367,34 @@
 
 static void sync_(Codec_ *c, BH__Message *m)
 {
-	u64_(c, &m->as.look.asked_us);
-	u64_(c, &m->as.look.held_us);
-	u64_(c, &m->as.look.configuration_version);
-	u64_(c, &m->as.look.configuration_age_us);
-	packed_text_(c, &m->as.look.configuration);
-	store_version_(c, &m->as.look.place);
-	store_version_(c, &m->as.look.era_start);
-	u64_(c, &m->as.look.registry_age_us);
-	u64_(c, &m->as.look.reader);
-	flag_(c, &m->as.look.lost);
-	flag_(c, &m->as.look.whole);
-	m->as.look.fact = list_(c, &m->as.look.count, m->as.look.fact, sizeof *m->as.look.fact);
-	for (uint32_t i = 0; i < m->as.look.count && !c->failed; i++) {
-		endpoint_(c, &m->as.look.fact[i].entry);
-		past_(c, &m->as.look.fact[i].past);
-		u64_(c, &m->as.look.fact[i].gone_in_us);
-		u64_(c, &m->as.look.fact[i].cold_in_us);
+	u64_(c, &m->as.sync.asked_us);
+	u64_(c, &m->as.sync.hold_time_us);
+	u64_(c, &m->as.sync.configuration_version);
+	u64_(c, &m->as.sync.configuration_age_us);
+	packed_text_(c, &m->as.sync.configuration);
+	store_version_(c, &m->as.sync.place);
+	store_version_(c, &m->as.sync.era_start);
+	u64_(c, &m->as.sync.registry_age_us);
+	u64_(c, &m->as.sync.reader);
+	flag_(c, &m->as.sync.platform_unavailable);
+	flag_(c, &m->as.sync.is_complete);
+	m->as.sync.fact = list_(c, &m->as.sync.count, m->as.sync.fact, sizeof *m->as.sync.fact);
+	for (uint32_t i = 0; i < m->as.sync.count && !c->failed; i++) {
+		endpoint_(c, &m->as.sync.fact[i].entry);
+		past_(c, &m->as.sync.fact[i].past);
+		u64_(c, &m->as.sync.fact[i].gone_in_us);
+		u64_(c, &m->as.sync.fact[i].cold_in_us);
 	}
-	m->as.look.gone = list_(c, &m->as.look.gone_count, m->as.look.gone, sizeof *m->as.look.gone);
-	for (uint32_t i = 0; i < m->as.look.gone_count && !c->failed; i++) {
-		u64_(c, &m->as.look.gone[i].endpoint_id);
-		past_(c, &m->as.look.gone[i].past);
+	m->as.sync.gone = list_(c, &m->as.sync.gone_count, m->as.sync.gone, sizeof *m->as.sync.gone);
+	for (uint32_t i = 0; i < m->as.sync.gone_count && !c->failed; i++) {
+		u64_(c, &m->as.sync.gone[i].endpoint_id);
+		past_(c, &m->as.sync.gone[i].past);
 	}
-	m->as.look.hall = list_(c, &m->as.look.hall_count, m->as.look.hall, sizeof *m->as.look.hall);
-	for (uint32_t i = 0; i < m->as.look.hall_count && !c->failed; i++) {
-		string_(c, m->as.look.hall[i].name, sizeof m->as.look.hall[i].name);
-		flag_(c, &m->as.look.hall[i].draining);
-		store_version_(c, &m->as.look.hall[i].changed);
+	m->as.sync.hall = list_(c, &m->as.sync.hall_count, m->as.sync.hall, sizeof *m->as.sync.hall);
+	for (uint32_t i = 0; i < m->as.sync.hall_count && !c->failed; i++) {
+		string_(c, m->as.sync.hall[i].name, sizeof m->as.sync.hall[i].name);
+		flag_(c, &m->as.sync.hall[i].draining);
+		store_version_(c, &m->as.sync.hall[i].changed);
 	}
 }
 
@@ -440,23 +440,23 @@
 		quarantine_entry_(c, &m->as.quarantine.entry[i]);
 }
 
-static void range_(Codec_ *c, BH__MessageArc *a)
+static void range_(Codec_ *c, BH__MessageRange *a)
 {
 	u64_(c, &a->first);
 	u64_(c, &a->last);
-	u8_(c, &a->way, BH__MESSAGE_NEWS_WAYS - 1);
+	u8_(c, &a->tree_index, BH__MESSAGE_UPDATE_TREES - 1);
 }
 
 static void signals_(Codec_ *c, BH__Message *m)
 {
-	range_(c, &m->as.arc);
+	range_(c, &m->as.range);
 	flag_(c, &m->as.signals.for_all);
 	u8_(c, &m->as.signals.count, BH__MESSAGE_SIGNALS_MAX);
 	for (unsigned i = 0; i < m->as.signals.count; i++)
 		signal_update_(c, &m->as.signals.item[i]);
 }
 
-static void signal_update_(Codec_ *c, BH__SignalNews *n)
+static void signal_update_(Codec_ *c, BH__SignalUpdate *n)
 {
 	uint8_t kind = (uint8_t)n->kind;
 
@@ -473,7 +473,7 @@
 static void permit_ask_(Codec_ *c, BH__Message *m)
 {
 	u64_(c, &m->as.permit_ask.ask_id);
-	u64_(c, &m->as.permit_ask.patience_us);
+	u64_(c, &m->as.permit_ask.max_wait_us);
 	signal_update_(c, &m->as.permit_ask.limit);
 }
 
@@ -500,19 +500,19 @@
 		break;
 	case BH__MESSAGE_JOIN:
 		member_(c, &m->as.join.self);
-		for (unsigned i = 0; i < BH__MEMBER_PARTS; i++)
-			u64_(c, &m->as.join.part_hash[i]);
+		for (unsigned i = 0; i < BH__MEMBER_PARTITIONS; i++)
+			u64_(c, &m->as.join.partition_hash[i]);
 		break;
 	case BH__MESSAGE_MEMBERS:
 		flag_(c, &m->as.members.answers_join);
-		u64_(c, &m->as.members.parts);
+		u64_(c, &m->as.members.partitions);
 		m->as.members.member = list_(c, &m->as.members.count, m->as.members.member, sizeof(BH__MemberInfo));
 		for (uint32_t i = 0; i < m->as.members.count && !c->failed; i++)
 			member_(c, &m->as.members.member[i]);
 		break;
-	case BH__MESSAGE_NEWS:
-		range_(c, &m->as.arc);
-		member_(c, &m->as.news.member);
+	case BH__MESSAGE_MEMBER_UPDATE:
+		range_(c, &m->as.range);
+		member_(c, &m->as.member_update.member);
 		break;
 	case BH__MESSAGE_ASK:
 		ask_(c, &m->as.ask);
@@ -530,7 +530,7 @@
 		break;
 	case BH__MESSAGE_RELEASE:
 	case BH__MESSAGE_PROGRESS:
-	case BH__MESSAGE_PASS:
+	case BH__MESSAGE_ITERATION:
 	case BH__MESSAGE_WITHDRAW:
 	case BH__MESSAGE_QUEUED:
 		u64_(c, &m->as.release.pool_id);
@@ -539,7 +539,7 @@
 		u8_(c, &kind, BH__RELEASE_LOST);
 		m->as.release.kind = (BH__ReleaseKind)kind;
 		u64_(c, &m->as.release.failed_endpoint);
-		u64_(c, &m->as.release.pass_us);
+		u64_(c, &m->as.release.iteration_us);
 		u64_(c, &m->as.release.backoff_us);
 		break;
 	case BH__MESSAGE_HOLD:
@@ -549,7 +549,7 @@
 		u64_(c, &m->as.orphan.endpoint_id);
 		u64_(c, &m->as.orphan.attempt_id);
 		break;
-	case BH__MESSAGE_CONFIG_NEWS:
+	case BH__MESSAGE_CONFIG_UPDATE:
 	case BH__MESSAGE_CONFIG_ASK:
 		config_ask_(c, m);
 		break;
@@ -560,12 +560,12 @@
 	case BH__MESSAGE_QUOTA_GRANT:
 		quota_(c, m);
 		break;
-	case BH__MESSAGE_LOOK_ASK:
-	case BH__MESSAGE_LOOK:
+	case BH__MESSAGE_SYNC_ASK:
+	case BH__MESSAGE_SYNC:
 		sync_(c, m);
 		break;
 	case BH__MESSAGE_READER:
-		u64_(c, &m->as.look.reader);
+		u64_(c, &m->as.sync.reader);
 		break;
 	case BH__MESSAGE_SUSPECT:
 		suspect_(c, m);
@@ -679,12 +679,12 @@
 	case BH__MESSAGE_QUOTA_GRANT:
 		g_free(m->as.quota.entry);
 		break;
-	case BH__MESSAGE_LOOK_ASK:
-	case BH__MESSAGE_LOOK:
-		bh__packed_text_clear(&m->as.look.configuration);
-		g_free(m->as.look.fact);
-		g_free(m->as.look.gone);
-		g_free(m->as.look.hall);
+	case BH__MESSAGE_SYNC_ASK:
+	case BH__MESSAGE_SYNC:
+		bh__packed_text_clear(&m->as.sync.configuration);
+		g_free(m->as.sync.fact);
+		g_free(m->as.sync.gone);
+		g_free(m->as.sync.hall);
 		break;
 	case BH__MESSAGE_QUARANTINE:
 		g_free(m->as.quarantine.entry);
--- a/src/libbayhoist/node.c
+++ b/src/libbayhoist/node.c
@@ -134,7 +134,7 @@
 	bh__members_set_self(n->members, n->leaving, revision, n->counters.live);
 	count = bh__members_sample(n->members, peer, NEWS_FANOUT_);
 	for (unsigned i = 0; i < count; i++) {
-		BH__Message m = {.type = BH__MESSAGE_CONFIG_NEWS};
+		BH__Message m = {.type = BH__MESSAGE_CONFIG_UPDATE};
 		m.as.config_ask.revision = revision;
 		bh__node_send(n, peer[i]->node_id, &m);
 	}
@@ -270,17 +270,17 @@
 		if (!bh__requests_hold_attempt(n, m->as.orphan.attempt_id))
 			bh__duties_process_orphan(n, m->as.orphan.endpoint_id, m->as.orphan.attempt_id);
 		break;
-	case BH__MESSAGE_CONFIG_NEWS:
-		bh__spread_hear_revision(n, m->from_node, m->as.config_ask.revision);
+	case BH__MESSAGE_CONFIG_UPDATE:
+		bh__peer_sync_receive_revision(n, m->from_node, m->as.config_ask.revision);
 		break;
 	case BH__MESSAGE_CONFIG_ASK:
-		bh__spread_process_config_ask(n, m);
+		bh__peer_sync_process_config_ask(n, m);
 		break;
 	case BH__MESSAGE_CONFIG_DATA:
-		bh__spread_process_config_data(n, m);
+		bh__peer_sync_process_config_data(n, m);
 		break;
 	case BH__MESSAGE_QUOTA_ASK:
-		bh__spread_process_quota_ask(n, m);
+		bh__peer_sync_process_quota_ask(n, m);
 		break;
 	case BH__MESSAGE_QUOTA_GRANT:
 		for (uint32_t i = 0; i < m->as.quota.count; i++)
@@ -299,7 +299,7 @@
 		return;
 	for (unsigned i = 0; i < m->as.ping.digest_count; i++)
 		bh__routes_take_digest(n->routes, &m->as.ping.digest[i], n->now_us);
-	bh__spread_hear_revision(n, m->from_node, m->as.ping.self.config_revision);
+	bh__peer_sync_receive_revision(n, m->from_node, m->as.ping.self.config_revision);
 }
 
 /* Hands a message to the pool that it is for. An ask for a pool that this node does not schedule is sent
@@ -374,7 +374,7 @@
 	bh__crash_watch_process_tick(n->crashes, now_us);
 	if (now_us >= n->next_quota_us) {
 		n->next_quota_us = now_us + QUOTA_PERIOD_US_;
-		bh__spread_send_quota_asks(n);
+		bh__peer_sync_send_quota_asks(n);
 	}
 	bh__requests_process_tick(n);
 	if (now_us >= n->next_hold_us) {
--- a/src/libbayhoist/spread.c
+++ b/src/libbayhoist/peer_sync.c
@@ -9,7 +9,7 @@
 
 /* Handles the configuration revision that a node has reported. If it is newer than this node's, requests the
  * chunks that differ, at most once per CONFIG_ASK_PERIOD_US_ until an answer arrives. */
-void bh__spread_hear_revision(BH__Node *n, uint64_t node_id, uint64_t revision)
+void bh__peer_sync_receive_revision(BH__Node *n, uint64_t node_id, uint64_t revision)
 {
 	BH__Message m = {.type = BH__MESSAGE_CONFIG_ASK};
 
@@ -25,7 +25,7 @@
 
 /* Answers a request for the configuration with the chunks that the requesting node lacks. Sends nothing if
  * this node's configuration is not newer. */
-void bh__spread_process_config_ask(BH__Node *n, const BH__Message *m)
+void bh__peer_sync_process_config_ask(BH__Node *n, const BH__Message *m)
 {
 	BH__Message answer = {.type = BH__MESSAGE_CONFIG_DATA};
 	BH__ConfigChunk chunk[BH__CHUNK_COUNT];
@@ -46,7 +46,7 @@
 }
 
 /* Installs a configuration received from a peer. Logs an event if it is refused. */
-void bh__spread_process_config_data(BH__Node *n, const BH__Message *m)
+void bh__peer_sync_process_config_data(BH__Node *n, const BH__Message *m)
 {
 	const char *chunks[BH__CHUNK_COUNT] = {NULL};
 	GError *error = NULL;
@@ -76,7 +76,7 @@
 
 /* Answers a request for rate shares: allots each account's share in tokens per second to the requesting node.
  * Accounts that are unknown or have no rate limit are left out of the answer. */
-void bh__spread_process_quota_ask(BH__Node *n, const BH__Message *m)
+void bh__peer_sync_process_quota_ask(BH__Node *n, const BH__Message *m)
 {
 	BH__Message answer = {.type = BH__MESSAGE_QUOTA_GRANT};
 	unsigned alive;
@@ -109,7 +109,7 @@
 
 /* Sends a request for a rate share to the home node of each account. Handles it locally if this node is the
  * home node or there is none. */
-void bh__spread_send_quota_asks(BH__Node *n)
+void bh__peer_sync_send_quota_asks(BH__Node *n)
 {
 	GArray *asks = bh__quota_get_asks(n->quota, n->now_us);
 
@@ -122,7 +122,7 @@
 		m.from_node = n->options.self.node_id;
 		m.from_boot = bh__members_get_self(n->members)->boot_id;
 		if (!home || home == n->options.self.node_id) {
-			bh__spread_process_quota_ask(n, &m);
+			bh__peer_sync_process_quota_ask(n, &m);
 		}
 		else {
 			bh__quota_leave_home(n->quota, e->account_id);
--- a/src/libbayhoist/placement.c
+++ b/src/libbayhoist/placement.c
@@ -122,7 +122,7 @@
 	for (guint i = 0; i < e->primaries->len; i++) {
 		const BH__PlacedRequest *r = g_ptr_array_index(e->primaries, i);
 		uint64_t due_us = r->granted_us + r->grant.expected_us;
-		if (!r->grant.writes && r->grant.member_count == 1 && now_us > due_us + OVERDUE_US_ &&
+		if (!r->grant.has_first_event && r->grant.member_count == 1 && now_us > due_us + OVERDUE_US_ &&
 			e->last_stream_started_us < due_us)
 			return true;
 	}
@@ -224,7 +224,7 @@
 
 	if (r->grant.member_count < 2 || !clock->streams)
 		return 0;
-	if (!r->grant.writes)
+	if (!r->grant.has_first_event)
 		return left_ms;
 	if (!r->stream_started_us || r->stream_started_us < clock->iteration_start_us)
 		return 0;
--- a/src/libbayhoist/planner.c
+++ b/src/libbayhoist/planner.c
@@ -231,7 +231,7 @@
 				   .node_id = ask->node_id,
 				   .boot_id = ask->boot_id,
 				   .priority_level = ask->priority_level,
-				   .tells_progress = true,
+				   .reports_progress = true,
 				   .event_gap_us = ask->event_gap_us,
 				   .expected_us = placement->prefill_end_us - now_us,
 				   .member_count = (uint8_t)placement->count};
@@ -290,7 +290,7 @@
 		if (!e)
 			continue;
 		bh__iteration_clock_advance(&e->clock, &p->model, now_us);
-		if (!g->writes)
+		if (!g->has_first_event)
 			bh__iteration_clock_add_part(&e->clock,
 										 &(BH__PrefillPart){.grant_id = g->grant_id,
 															.due_us = due_us,
@@ -303,11 +303,11 @@
 		if (i == 0)
 			g_ptr_array_add(e->primaries, r);
 		else
-			e->helper_parts += !g->writes;
+			e->helper_parts += !g->has_first_event;
 	}
 	g_hash_table_insert(p->by_grant, &r->grant.grant_id, r);
 	g_hash_table_insert(p->by_ask, &r->grant.ask_id, r);
-	if (g->writes)
+	if (g->has_first_event)
 		start_stream_(p, r, now_us);
 	return r;
 }
@@ -318,7 +318,7 @@
 {
 	BH__IterationEngine *e = find_engine_(p, r->grant.member[0].endpoint_id);
 
-	r->grant.writes = true;
+	r->grant.has_first_event = true;
 	if (e)
 		bh__iteration_clock_begin_stream(&e->clock, &p->model, r->tokens, now_us);
 }
@@ -327,7 +327,7 @@
  * prompt although nobody waits for the answer. */
 static void remove_grant_(BH__Planner *p, BH__PlacedRequest *r, bool prefill_continues, uint64_t now_us)
 {
-	if (!r->grant.writes && !prefill_continues)
+	if (!r->grant.has_first_event && !prefill_continues)
 		end_prefill_(p, r, false, now_us);
 	for (unsigned i = 0; i < r->grant.member_count; i++) {
 		BH__IterationEngine *e = find_engine_(p, r->grant.member[i].endpoint_id);
@@ -336,7 +336,7 @@
 		e->kv_used_tokens -= MIN(e->kv_used_tokens, r->grant.member[i].kv_bytes);
 		if (i > 0)
 			continue;
-		if (g_ptr_array_remove_fast(e->primaries, r) && r->grant.writes) {
+		if (g_ptr_array_remove_fast(e->primaries, r) && r->grant.has_first_event) {
 			bh__iteration_clock_advance(&e->clock, &p->model, now_us);
 			bh__iteration_clock_end_stream(&e->clock, r->tokens);
 		}
@@ -414,7 +414,7 @@
 	BH__PlacedRequest *r = g_hash_table_lookup(p->by_grant, &grant_id);
 	BH__IterationEngine *e;
 
-	if (!r || r->grant.writes)
+	if (!r || r->grant.has_first_event)
 		return;
 	r->stream_started_us = now_us;
 	if (r->grant.member_count > 1)
@@ -436,7 +436,8 @@
 void bh__planner_process_iteration(BH__Planner *p, uint64_t grant_id, uint64_t iteration_us, uint64_t now_us)
 {
 	BH__PlacedRequest *r = g_hash_table_lookup(p->by_grant, &grant_id);
-	BH__IterationEngine *e = r && r->grant.writes ? find_engine_(p, r->grant.member[0].endpoint_id) : NULL;
+	BH__IterationEngine *e =
+		r && r->grant.has_first_event ? find_engine_(p, r->grant.member[0].endpoint_id) : NULL;
 
 	if (!e)
 		return;
--- a/src/libbayhoist/pool.c
+++ b/src/libbayhoist/pool.c
@@ -408,7 +408,7 @@
 				   .priority_level =
 					   e->ask.priority_level * BH__SIZE_CLASSES + bh__size_class(e->ask.prompt_tokens),
 				   .is_long = e->lane == BH__LANE_LONG,
-				   .tells_progress = bh__size_class(e->ask.prompt_tokens) > 0,
+				   .reports_progress = bh__size_class(e->ask.prompt_tokens) > 0,
 				   .member_count = (uint8_t)count};
 	uint32_t cached = 0;
 
--- a/src/libbayhoist/exchange.c
+++ b/src/libbayhoist/retry_state.c
@@ -2,7 +2,7 @@
 /* Retry policy for a caller's request. A request that may have run and must not run twice is never retried. A
  * request that did not run and cannot be retried is rejected with an answer that says so. All other requests
  * are retried as long as attempts, retry budget and time are left. */
-#include "bayhoist/exchange.h"
+#include "bayhoist/retry_state.h"
 
 #include <string.h>
 #include "bayhoist/planner.h"
@@ -24,18 +24,18 @@
  */
 #define BUDGET_SHARE_USED_ 0.7
 
-const char *const BH__SendingEndString[] = {"answered", "failed",  "refused", "unreachable",
-											"broken",   "stopped", "silent"};
-const char *const BH__NextString[] = {"done",   "pass-on", "send",     "resume",
-									  "refuse", "fail",    "time-out", "break-off"};
+const char *const BH__DispatchEndString[] = {"answered", "failed",  "refused", "unreachable",
+											 "broken",   "stopped", "silent"};
+const char *const BH__NextActionString[] = {"done",   "pass-on", "send",     "resume",
+											"refuse", "fail",    "time-out", "break-off"};
 
-static BH__Next abandon_(const BH__Exchange *state, BH__SendingEnd end);
-static BH__Next dispatch_again_(const BH__Exchange *state);
-static BH__Next end_without_retry_(const BH__Exchange *state, BH__Next action_if_may_have_run);
+static BH__NextAction abandon_(const BH__RetryState *state, BH__DispatchEnd end);
+static BH__NextAction dispatch_again_(const BH__RetryState *state);
+static BH__NextAction end_without_retry_(const BH__RetryState *state, BH__NextAction action_if_may_have_run);
 
 /* Initializes a full retry budget. `burst` is the number of retries allowed in a burst, `share` the number
  * of retries that each request earns. Both are reduced by BUDGET_SHARE_USED_. */
-void bh__repeat_budget_init(BH__RepeatBudget *b, double share, double burst)
+void bh__service_retry_budget_init(BH__ServiceRetryBudget *b, double share, double burst)
 {
 	memset(b, 0, sizeof *b);
 	b->share = share * BUDGET_SHARE_USED_;
@@ -45,20 +45,20 @@
 
 /* Sets the maximum to this node's even part of the service's allowance `burst`, which `nodes` nodes share.
  */
-void bh__repeat_budget_set_nodes(BH__RepeatBudget *b, double burst, unsigned nodes)
+void bh__service_retry_budget_set_nodes(BH__ServiceRetryBudget *b, double burst, unsigned nodes)
 {
 	b->max = burst * BUDGET_SHARE_USED_ / MAX(nodes, 1u);
 	b->level = MIN(b->level, b->max);
 }
 
 /* Credits the budget with one request. */
-void bh__repeat_budget_note_request(BH__RepeatBudget *b)
+void bh__service_retry_budget_note_request(BH__ServiceRetryBudget *b)
 {
 	b->level = MIN(b->level + b->share, b->max);
 }
 
 /* Takes one retry from the budget. Returns false if less than one is left. */
-bool bh__repeat_budget_take(BH__RepeatBudget *b)
+bool bh__service_retry_budget_take(BH__ServiceRetryBudget *b)
 {
 	if (b->level < 1) {
 		b->denied++;
@@ -71,7 +71,7 @@
 
 /* Initializes the state of a new request. `rule` allows at least one dispatch, even with a `max_attempts` of
  * 0. */
-void bh__exchange_init(BH__Exchange *state, const BH__RouteRule *rule, uint64_t deadline_us)
+void bh__retry_state_init(BH__RetryState *state, const BH__RouteRule *rule, uint64_t deadline_us)
 {
 	memset(state, 0, sizeof *state);
 	state->repeat = rule->repeat;
@@ -81,91 +81,92 @@
 
 /* Adds an endpoint that the request is not sent to again. Once BH__TRIED_MAX are stored, the new endpoint
  * replaces one of them, chosen by the number of dispatches. */
-void bh__exchange_note_tried(BH__Exchange *state, uint64_t endpoint_id)
+void bh__retry_state_note_tried(BH__RetryState *state, uint64_t endpoint_id)
 {
 	if (state->tried_count < BH__TRIED_MAX)
 		state->tried[state->tried_count++] = endpoint_id;
 	else
-		state->tried[state->sendings % BH__TRIED_MAX] = endpoint_id;
+		state->tried[state->dispatches % BH__TRIED_MAX] = endpoint_id;
 }
 
 /* Returns whether the request may have run at an endpoint. */
-BH__Verdict bh__exchange_get_verdict(const BH__Exchange *state)
+BH__Verdict bh__retry_state_get_verdict(const BH__RetryState *state)
 {
 	return state->may_have_run ? BH__VERDICT_MAY_HAVE_RUN : BH__VERDICT_NOT_RUN;
 }
 
 /* Returns true if the request may be sent to one more endpoint, without regard to the retry budget. */
-bool bh__exchange_may_send_again(const BH__Exchange *state, uint64_t now_us)
+bool bh__retry_state_may_dispatch_again(const BH__RetryState *state, uint64_t now_us)
 {
 	bool may_run_again = !state->may_have_run || state->repeat != BH__REPEAT_NEVER;
 	bool can_continue = !state->answer_begun || state->repeat == BH__REPEAT_RESUME;
 
-	return may_run_again && can_continue && state->sendings < state->max_attempts &&
+	return may_run_again && can_continue && state->dispatches < state->max_attempts &&
 		   state->unreachable <= UNREACHABLE_MAX_ && now_us + MIN_TIME_LEFT_US_ < state->deadline_us;
 }
 
 /* Records how a dispatch ended and returns the next action. A retry is charged to `budget` unless no dispatch
  * has reached an endpoint so far, since nothing has arrived then. */
-BH__Next bh__exchange_process_end(BH__Exchange *state, BH__SendingEnd end, BH__RepeatBudget *budget,
-								  uint64_t now_us)
+BH__NextAction bh__retry_state_process_end(BH__RetryState *state, BH__DispatchEnd end,
+										   BH__ServiceRetryBudget *budget, uint64_t now_us)
 {
-	if (end == BH__SENDING_ANSWERED)
-		return BH__NEXT_DONE;
-	if (end == BH__SENDING_UNREACHABLE)
+	if (end == BH__DISPATCH_ANSWERED)
+		return BH__NEXT_ACTION_DONE;
+	if (end == BH__DISPATCH_UNREACHABLE)
 		state->unreachable++;
 	else
-		state->sendings++;
-	if (end == BH__SENDING_BROKEN || end == BH__SENDING_SILENT || end == BH__SENDING_FAILED ||
-		end == BH__SENDING_STOPPED)
+		state->dispatches++;
+	if (end == BH__DISPATCH_BROKEN || end == BH__DISPATCH_UNRESPONSIVE || end == BH__DISPATCH_FAILED ||
+		end == BH__DISPATCH_STOPPED)
 		state->may_have_run = true;
-	if (end == BH__SENDING_STOPPED || !bh__exchange_may_send_again(state, now_us))
+	if (end == BH__DISPATCH_STOPPED || !bh__retry_state_may_dispatch_again(state, now_us))
 		return abandon_(state, end);
-	if ((end != BH__SENDING_UNREACHABLE || state->sendings > 0) && !bh__repeat_budget_take(budget))
+	if ((end != BH__DISPATCH_UNREACHABLE || state->dispatches > 0) && !bh__service_retry_budget_take(budget))
 		return abandon_(state, end);
 	return dispatch_again_(state);
 }
 
 /* Returns the action that retries the request: from the start, or after the last event if its answer has
  * begun. */
-static BH__Next dispatch_again_(const BH__Exchange *state)
+static BH__NextAction dispatch_again_(const BH__RetryState *state)
 {
-	return state->answer_begun ? BH__NEXT_RESUME : BH__NEXT_SEND;
+	return state->answer_begun ? BH__NEXT_ACTION_RESUME : BH__NEXT_ACTION_SEND;
 }
 
 /* Returns the action that ends a request whose last dispatch ended with `end` and that is not retried. */
-static BH__Next abandon_(const BH__Exchange *state, BH__SendingEnd end)
+static BH__NextAction abandon_(const BH__RetryState *state, BH__DispatchEnd end)
 {
-	if (end == BH__SENDING_FAILED)
-		return end_without_retry_(state, BH__NEXT_PASS_ON);
-	return end_without_retry_(state, end == BH__SENDING_SILENT ? BH__NEXT_TIME_OUT : BH__NEXT_FAIL);
+	if (end == BH__DISPATCH_FAILED)
+		return end_without_retry_(state, BH__NEXT_ACTION_PASS_THROUGH);
+	return end_without_retry_(state, end == BH__DISPATCH_UNRESPONSIVE ? BH__NEXT_ACTION_TIME_OUT
+																	  : BH__NEXT_ACTION_FAIL);
 }
 
 /* Returns the action that ends a request that is not retried. `action_if_may_have_run` is the action if the
  * request may have run and the caller has not received the beginning of an answer. */
-static BH__Next end_without_retry_(const BH__Exchange *state, BH__Next action_if_may_have_run)
+static BH__NextAction end_without_retry_(const BH__RetryState *state, BH__NextAction action_if_may_have_run)
 {
 	if (state->answer_begun)
-		return BH__NEXT_BREAK_OFF;
-	return state->may_have_run ? action_if_may_have_run : BH__NEXT_REFUSE;
+		return BH__NEXT_ACTION_BREAK_OFF;
+	return state->may_have_run ? action_if_may_have_run : BH__NEXT_ACTION_REFUSE;
 }
 
 /* Returns the action that ends a request whose deadline has passed. If a dispatch is in progress, the caller
  * must have set `may_have_run` first. */
-BH__Next bh__exchange_process_deadline(const BH__Exchange *state)
+BH__NextAction bh__retry_state_process_deadline(const BH__RetryState *state)
 {
-	return end_without_retry_(state, BH__NEXT_TIME_OUT);
+	return end_without_retry_(state, BH__NEXT_ACTION_TIME_OUT);
 }
 
 /* Returns the action that ends a request that no endpoint accepts. */
-BH__Next bh__exchange_process_no_place(const BH__Exchange *state)
+BH__NextAction bh__retry_state_process_no_endpoint(const BH__RetryState *state)
 {
-	return end_without_retry_(state, BH__NEXT_FAIL);
+	return end_without_retry_(state, BH__NEXT_ACTION_FAIL);
 }
 
 /* Returns the time in microseconds after which an endpoint that sends nothing counts as unresponsive. With
  * `has_begun` false it applies to the beginning of the answer, otherwise to the gap between two events. */
-uint64_t bh__patience_us(const BH__RouteRule *rule, bool is_engine, bool has_begun)
+uint64_t bh__response_max_wait_us(const BH__RouteRule *rule, bool is_engine, bool has_begun)
 {
 	uint64_t ms = has_begun
 					  ? (uint64_t)rule->event_gap_ms * EVENT_GAP_WAIT_FACTOR_
--- a/src/libbayhoist/signal_relay.c
+++ b/src/libbayhoist/signal_relay.c
@@ -40,8 +40,8 @@
 static void queue_limit_(BH__SignalRelay *r, BH__RegisteredEndpoint *e);
 static bool is_home_(const BH__SignalRelay *r, const char *service);
 static void queue_(BH__SignalRelay *r, BH__SignalKind kind, uint64_t endpoint_id);
-static void process_new_update_(BH__SignalRelay *r, const BH__SignalNews *n, bool for_all);
-static bool merge_limit_(BH__RegisteredEndpoint *e, const BH__SignalNews *n, uint64_t now_us);
+static void process_new_update_(BH__SignalRelay *r, const BH__SignalUpdate *n, bool for_all);
+static bool merge_limit_(BH__RegisteredEndpoint *e, const BH__SignalUpdate *n, uint64_t now_us);
 static bool fill_message_(const BH__SignalRelay *r, guint *at, uint64_t now_us, BH__Message *m);
 
 /* Returns a new relay, which does not take ownership of its arguments. */
@@ -66,7 +66,7 @@
 
 /* Handles an answer, read by this node, in which an endpoint says that it leaves. Notifies the home node.
  * Returns true if this was not known. */
-bool bh__signal_relay_hear_leaving(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t now_us)
+bool bh__signal_relay_receive_leaving(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	if (!bh__registry_note_leaving(r->registry, e->endpoint_id, e->entry.born_ms))
 		return false;
@@ -89,8 +89,8 @@
 
 /* Handles an answer in which an endpoint rejects a request of this node and asks for backoff until
  * `until_us`. Notifies the home node once per backoff, not once per rejected request. */
-void bh__signal_relay_hear_overload(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t until_us,
-									uint64_t now_us)
+void bh__signal_relay_receive_overload(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t until_us,
+									   uint64_t now_us)
 {
 	if (bh__registered_endpoint_hear_overload(e, until_us, now_us))
 		notify_home_(r, BH__SIGNAL_BACKOFF, e, now_us);
@@ -99,8 +99,8 @@
 /* Handles the limit in an answer that this node has read, or its absence (see
  * bh__registered_endpoint_hear_limit()). Notifies the home node at once if a limit begins or ends, otherwise
  * at most once per CHANGED_LIMIT_PERIOD_US_ or RENOTIFY_US_. Returns true if the limit has changed. */
-bool bh__signal_relay_hear_limit(BH__SignalRelay *r, BH__RegisteredEndpoint *e, const BH__NamedLimit *limit,
-								 uint64_t now_us)
+bool bh__signal_relay_receive_limit(BH__SignalRelay *r, BH__RegisteredEndpoint *e,
+									const BH__NamedLimit *limit, uint64_t now_us)
 {
 	bool was_in_force = e->signals.named.in_force;
 	bool changed = bh__registered_endpoint_hear_limit(e, limit, now_us);
@@ -124,7 +124,7 @@
 	if (!is_home_(r, e->entry.service)) {
 		m.as.signals.for_all = true;
 		m.as.signals.count = 1;
-		m.as.signals.item[0] = bh__signal_news(kind, e, now_us);
+		m.as.signals.item[0] = bh__signal_update_make(kind, e, now_us);
 		r->port->send(r->port, r->port->find_home(r->port, e->entry.service), &m);
 	}
 	else if (kind == BH__SIGNAL_LIMIT) {
@@ -169,9 +169,9 @@
 }
 
 /* Returns an update for other nodes that holds what this node knows of an endpoint's signal. */
-BH__SignalNews bh__signal_news(BH__SignalKind kind, const BH__RegisteredEndpoint *e, uint64_t now_us)
+BH__SignalUpdate bh__signal_update_make(BH__SignalKind kind, const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
-	BH__SignalNews n = {.kind = kind, .endpoint_id = e->endpoint_id, .born_ms = e->entry.born_ms};
+	BH__SignalUpdate n = {.kind = kind, .endpoint_id = e->endpoint_id, .born_ms = e->entry.born_ms};
 
 	if (kind == BH__SIGNAL_BACKOFF) {
 		n.time_us = e->signals.overloaded_until_us - MIN(now_us, e->signals.overloaded_until_us);
@@ -192,8 +192,8 @@
 	if (m->type != BH__MESSAGE_SIGNALS)
 		return false;
 	for (unsigned i = 0; i < m->as.signals.count; i++) {
-		const BH__SignalNews *n = &m->as.signals.item[i];
-		if (bh__signal_relay_take(r, n, now_us))
+		const BH__SignalUpdate *n = &m->as.signals.item[i];
+		if (bh__signal_relay_merge(r, n, now_us))
 			process_new_update_(r, n, m->as.signals.for_all);
 	}
 	bh__members_pass_on(r->members, m);
@@ -202,7 +202,7 @@
 
 /* Handles an update that was new to this node. With `for_all` the sender leaves the broadcast to this node.
  * Otherwise another node broadcasts the update, and a limit is only noted as broadcast. */
-static void process_new_update_(BH__SignalRelay *r, const BH__SignalNews *n, bool for_all)
+static void process_new_update_(BH__SignalRelay *r, const BH__SignalUpdate *n, bool for_all)
 {
 	BH__RegisteredEndpoint *e = bh__registry_find(r->registry, n->endpoint_id);
 
@@ -220,7 +220,7 @@
 
 /* Merges an update from another node. Updates of a backoff or a limit that belong to another incarnation of
  * the endpoint are ignored. Returns true if the update was new to this node. */
-bool bh__signal_relay_take(BH__SignalRelay *r, const BH__SignalNews *n, uint64_t now_us)
+bool bh__signal_relay_merge(BH__SignalRelay *r, const BH__SignalUpdate *n, uint64_t now_us)
 {
 	BH__RegisteredEndpoint *e = bh__registry_find(r->registry, n->endpoint_id);
 	bool is_same_start = e && e->entry.born_ms == n->born_ms;
@@ -240,12 +240,12 @@
 		break;
 	}
 	if (is_new)
-		r->port->learnt(r->port, n->kind, e);
+		r->port->merged(r->port, n->kind, e);
 	return is_new;
 }
 
 /* Merges a limit from another node. Returns true if it changes what is known. */
-static bool merge_limit_(BH__RegisteredEndpoint *e, const BH__SignalNews *n, uint64_t now_us)
+static bool merge_limit_(BH__RegisteredEndpoint *e, const BH__SignalUpdate *n, uint64_t now_us)
 {
 	BH__NamedLimit limit = {
 		.in_force = n->in_force, .per_s = n->per_s, .heard_us = now_us - MIN(now_us, n->time_us)};
@@ -293,14 +293,14 @@
 		const PendingSignal_ *t = &g_array_index(r->pending, PendingSignal_, (*at)++);
 		const BH__RegisteredEndpoint *e = bh__registry_find(r->registry, t->endpoint_id);
 		if (e)
-			m->as.signals.item[m->as.signals.count++] = bh__signal_news(t->kind, e, now_us);
+			m->as.signals.item[m->as.signals.count++] = bh__signal_update_make(t->kind, e, now_us);
 	}
 	return m->as.signals.count > 0;
 }
 
 /* Sends a node that may lack this state the signals of all endpoints whose home node this node is. Backoffs
  * are not sent. */
-void bh__signal_relay_tell_node(BH__SignalRelay *r, uint64_t node_id, uint64_t now_us)
+void bh__signal_relay_notify_node(BH__SignalRelay *r, uint64_t node_id, uint64_t now_us)
 {
 	BH__Message m = {.type = BH__MESSAGE_SIGNALS};
 
@@ -311,7 +311,7 @@
 		for (int kind = 0; kind < BH__SIGNAL_KIND_COUNT; kind++) {
 			if (!is_known[kind] || !is_home_(r, e->entry.service))
 				continue;
-			m.as.signals.item[m.as.signals.count++] = bh__signal_news((BH__SignalKind)kind, e, now_us);
+			m.as.signals.item[m.as.signals.count++] = bh__signal_update_make((BH__SignalKind)kind, e, now_us);
 			if (m.as.signals.count < BH__MESSAGE_SIGNALS_MAX)
 				continue;
 			r->port->send(r->port, node_id, &m);
--- a/src/test_libbayhoist/fleet.c
+++ b/src/test_libbayhoist/fleet.c
@@ -528,9 +528,9 @@
 		}
 		g_ptr_array_remove_index(f->letters, i);
 		if (bh__message_decode(&m, l->data, l->len, NULL)) {
-			if (m.type == BH__MESSAGE_LOOK_ASK)
+			if (m.type == BH__MESSAGE_SYNC_ASK)
 				bh__looks_process_ask(n->looks, &m, f->now_us);
-			else if (m.type == BH__MESSAGE_LOOK)
+			else if (m.type == BH__MESSAGE_SYNC)
 				bh__looks_process_answer(n->looks, &m, f->now_us);
 			else if (m.type == BH__MESSAGE_READER)
 				bh__looks_process_reader(n->looks, &m, f->now_us);
--- a/src/test_libbayhoist/test_gateway.c
+++ b/src/test_libbayhoist/test_gateway.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <string.h>
 #include "bayhoist/event_stream.h"
-#include "bayhoist/exchange.h"
+#include "bayhoist/retry_state.h"
 #include "bayhoist/field.h"
 #include "bayhoist/hash.h"
 #include "bayhoist/knowledge.h"
@@ -266,36 +266,36 @@
 		BH__Repeat repeat;
 		uint32_t max_attempts;
 		bool answer_begun;
-		BH__SendingEnd end;
-		BH__Next next;
+		BH__DispatchEnd end;
+		BH__NextAction next;
 	} Table[] = {
-		{BH__REPEAT_NEVER, 2, false, BH__SENDING_ANSWERED, BH__NEXT_DONE},
-		{BH__REPEAT_NEVER, 2, false, BH__SENDING_BROKEN, BH__NEXT_FAIL},
-		{BH__REPEAT_NEVER, 2, false, BH__SENDING_FAILED, BH__NEXT_PASS_ON},
-		{BH__REPEAT_NEVER, 2, false, BH__SENDING_REFUSED, BH__NEXT_SEND},
-		{BH__REPEAT_NEVER, 1, false, BH__SENDING_REFUSED, BH__NEXT_REFUSE},
-		{BH__REPEAT_NEVER, 1, false, BH__SENDING_UNREACHABLE, BH__NEXT_SEND},
-		{BH__REPEAT_NEVER, 2, true, BH__SENDING_BROKEN, BH__NEXT_BREAK_OFF},
-		{BH__REPEAT_FREELY, 2, false, BH__SENDING_BROKEN, BH__NEXT_SEND},
-		{BH__REPEAT_FREELY, 2, false, BH__SENDING_FAILED, BH__NEXT_SEND},
-		{BH__REPEAT_FREELY, 1, false, BH__SENDING_FAILED, BH__NEXT_PASS_ON},
-		{BH__REPEAT_FREELY, 1, false, BH__SENDING_SILENT, BH__NEXT_TIME_OUT},
-		{BH__REPEAT_FREELY, 2, true, BH__SENDING_BROKEN, BH__NEXT_BREAK_OFF},
-		{BH__REPEAT_RESUME, 2, false, BH__SENDING_BROKEN, BH__NEXT_SEND},
-		{BH__REPEAT_RESUME, 2, true, BH__SENDING_BROKEN, BH__NEXT_RESUME},
-		{BH__REPEAT_RESUME, 1, true, BH__SENDING_BROKEN, BH__NEXT_BREAK_OFF},
+		{BH__REPEAT_NEVER, 2, false, BH__DISPATCH_ANSWERED, BH__NEXT_ACTION_DONE},
+		{BH__REPEAT_NEVER, 2, false, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_FAIL},
+		{BH__REPEAT_NEVER, 2, false, BH__DISPATCH_FAILED, BH__NEXT_ACTION_PASS_THROUGH},
+		{BH__REPEAT_NEVER, 2, false, BH__DISPATCH_REFUSED, BH__NEXT_ACTION_SEND},
+		{BH__REPEAT_NEVER, 1, false, BH__DISPATCH_REFUSED, BH__NEXT_ACTION_REFUSE},
+		{BH__REPEAT_NEVER, 1, false, BH__DISPATCH_UNREACHABLE, BH__NEXT_ACTION_SEND},
+		{BH__REPEAT_NEVER, 2, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_BREAK_OFF},
+		{BH__REPEAT_FREELY, 2, false, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_SEND},
+		{BH__REPEAT_FREELY, 2, false, BH__DISPATCH_FAILED, BH__NEXT_ACTION_SEND},
+		{BH__REPEAT_FREELY, 1, false, BH__DISPATCH_FAILED, BH__NEXT_ACTION_PASS_THROUGH},
+		{BH__REPEAT_FREELY, 1, false, BH__DISPATCH_UNRESPONSIVE, BH__NEXT_ACTION_TIME_OUT},
+		{BH__REPEAT_FREELY, 2, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_BREAK_OFF},
+		{BH__REPEAT_RESUME, 2, false, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_SEND},
+		{BH__REPEAT_RESUME, 2, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_RESUME},
+		{BH__REPEAT_RESUME, 1, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_BREAK_OFF},
 	};
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(Table); i++) {
 		BH__RouteRule rule = {.repeat = Table[i].repeat, .max_attempts = Table[i].max_attempts};
-		BH__RepeatBudget budget;
-		BH__Exchange x;
-		bh__repeat_budget_init(&budget, 0.2, 100);
-		bh__exchange_init(&x, &rule, BH__SECOND_US);
+		BH__ServiceRetryBudget budget;
+		BH__RetryState x;
+		bh__service_retry_budget_init(&budget, 0.2, 100);
+		bh__retry_state_init(&x, &rule, BH__SECOND_US);
 		x.answer_begun = Table[i].answer_begun;
 		x.may_have_run = Table[i].answer_begun;
-		assert_int_equal(bh__exchange_process_end(&x, Table[i].end, &budget, 0), Table[i].next);
+		assert_int_equal(bh__retry_state_process_end(&x, Table[i].end, &budget, 0), Table[i].next);
 	}
 }
 
@@ -303,16 +303,16 @@
 static void may_have_run_is_not_forgotten_(void **state)
 {
 	BH__RouteRule rule = {.repeat = BH__REPEAT_FREELY, .max_attempts = 2};
-	BH__RepeatBudget budget;
-	BH__Exchange x;
+	BH__ServiceRetryBudget budget;
+	BH__RetryState x;
 
 	(void)state;
-	bh__repeat_budget_init(&budget, 0.2, 100);
-	bh__exchange_init(&x, &rule, BH__SECOND_US);
-	assert_int_equal(bh__exchange_process_end(&x, BH__SENDING_BROKEN, &budget, 0), BH__NEXT_SEND);
-	assert_int_equal(bh__exchange_process_end(&x, BH__SENDING_REFUSED, &budget, 0), BH__NEXT_FAIL);
-	assert_int_equal(bh__exchange_get_verdict(&x), BH__VERDICT_MAY_HAVE_RUN);
-	assert_int_equal(bh__exchange_process_deadline(&x), BH__NEXT_TIME_OUT);
+	bh__service_retry_budget_init(&budget, 0.2, 100);
+	bh__retry_state_init(&x, &rule, BH__SECOND_US);
+	assert_int_equal(bh__retry_state_process_end(&x, BH__DISPATCH_BROKEN, &budget, 0), BH__NEXT_ACTION_SEND);
+	assert_int_equal(bh__retry_state_process_end(&x, BH__DISPATCH_REFUSED, &budget, 0), BH__NEXT_ACTION_FAIL);
+	assert_int_equal(bh__retry_state_get_verdict(&x), BH__VERDICT_MAY_HAVE_RUN);
+	assert_int_equal(bh__retry_state_process_deadline(&x), BH__NEXT_ACTION_TIME_OUT);
 }
 
 /* An engine that reads as much in one pass as it may is not silent. Where it was, an archive read on twelve
@@ -323,11 +323,11 @@
 	BH__RouteRule archive = {.target_ms = 3000, .event_gap_ms = 800};
 
 	(void)state;
-	assert_true(bh__patience_us(&page, true, false) > BH__MAX_ITERATION_MS * BH__MS_US);
-	assert_true(bh__patience_us(&page, true, true) > BH__MAX_ITERATION_MS * BH__MS_US);
-	assert_int_equal(bh__patience_us(&archive, true, false), 6500 * BH__MS_US);
-	assert_int_equal(bh__patience_us(&archive, true, true), 3200 * BH__MS_US);
-	assert_int_equal(bh__patience_us(&page, false, true),
+	assert_true(bh__response_max_wait_us(&page, true, false) > BH__MAX_ITERATION_MS * BH__MS_US);
+	assert_true(bh__response_max_wait_us(&page, true, true) > BH__MAX_ITERATION_MS * BH__MS_US);
+	assert_int_equal(bh__response_max_wait_us(&archive, true, false), 6500 * BH__MS_US);
+	assert_int_equal(bh__response_max_wait_us(&archive, true, true), 3200 * BH__MS_US);
+	assert_int_equal(bh__response_max_wait_us(&page, false, true),
 					 900 * BH__MS_US); /* plain services have no passes */
 }
 
@@ -414,31 +414,31 @@
 static void no_place_ends_a_request_(void **state)
 {
 	BH__RouteRule rule = {.repeat = BH__REPEAT_RESUME, .max_attempts = 2};
-	BH__Exchange x;
+	BH__RetryState x;
 
 	(void)state;
-	bh__exchange_init(&x, &rule, BH__SECOND_US);
-	assert_int_equal(bh__exchange_process_no_place(&x), BH__NEXT_REFUSE);
+	bh__retry_state_init(&x, &rule, BH__SECOND_US);
+	assert_int_equal(bh__retry_state_process_no_endpoint(&x), BH__NEXT_ACTION_REFUSE);
 	x.may_have_run = true;
-	assert_int_equal(bh__exchange_process_no_place(&x), BH__NEXT_FAIL);
+	assert_int_equal(bh__retry_state_process_no_endpoint(&x), BH__NEXT_ACTION_FAIL);
 	x.answer_begun = true;
-	assert_int_equal(bh__exchange_process_no_place(&x), BH__NEXT_BREAK_OFF);
+	assert_int_equal(bh__retry_state_process_no_endpoint(&x), BH__NEXT_ACTION_BREAK_OFF);
 }
 
 /* Over all nodes no more is sent again than the service allows, also from nodes that have just started. */
 static void the_repeat_budget_holds_(void **state)
 {
 	enum { NODES = 9, REQUESTS = 100 };
-	BH__RepeatBudget budget[NODES];
+	BH__ServiceRetryBudget budget[NODES];
 	unsigned spent = 0;
 
 	(void)state;
 	for (int n = 0; n < NODES; n++) {
-		bh__repeat_budget_init(&budget[n], 0.2, 100);
-		bh__repeat_budget_set_nodes(&budget[n], 100, NODES);
+		bh__service_retry_budget_init(&budget[n], 0.2, 100);
+		bh__service_retry_budget_set_nodes(&budget[n], 100, NODES);
 		for (int i = 0; i < REQUESTS; i++) {
-			bh__repeat_budget_note_request(&budget[n]);
-			spent += bh__repeat_budget_take(&budget[n]);
+			bh__service_retry_budget_note_request(&budget[n]);
+			spent += bh__service_retry_budget_take(&budget[n]);
 		}
 	}
 	assert_true(spent > 0);
--- a/src/test_libbayhoist/test_inputs.c
+++ b/src/test_libbayhoist/test_inputs.c
@@ -143,7 +143,7 @@
 		break;
 	case BH__MESSAGE_HOLD:
 		m->as.hold.full = true;
-		m->as.hold.whole = true;
+		m->as.hold.is_complete = true;
 		m->as.hold.count = 2;
 		m->as.hold.grant = grants;
 		break;
@@ -161,17 +161,17 @@
 		m->as.quota.count = 2;
 		m->as.quota.entry = quota;
 		break;
-	case BH__MESSAGE_LOOK:
-		m->as.look.configuration = (BH__PackedText){.data = (uint8_t *)"abc", .len = 3, .text_len = 2};
-		m->as.look.lost = true;
-		m->as.look.whole = true;
-		m->as.look.place = (BH__Place){.era = 2, .revision = 9};
-		m->as.look.count = 2;
-		m->as.look.fact = facts;
-		m->as.look.gone_count = 2;
-		m->as.look.gone = gone;
-		m->as.look.hall_count = 2;
-		m->as.look.hall = halls;
+	case BH__MESSAGE_SYNC:
+		m->as.sync.configuration = (BH__PackedText){.data = (uint8_t *)"abc", .len = 3, .text_len = 2};
+		m->as.sync.platform_unavailable = true;
+		m->as.sync.is_complete = true;
+		m->as.sync.place = (BH__Place){.era = 2, .revision = 9};
+		m->as.sync.count = 2;
+		m->as.sync.fact = facts;
+		m->as.sync.gone_count = 2;
+		m->as.sync.gone = gone;
+		m->as.sync.hall_count = 2;
+		m->as.sync.hall = halls;
 		break;
 	case BH__MESSAGE_SUSPECT:
 		m->as.suspect.event = BH__QUARANTINE_SERVE;
--- a/src/test_libbayhoist/test_signal_relay.c
+++ b/src/test_libbayhoist/test_signal_relay.c
@@ -78,7 +78,7 @@
 {
 	RelayNode *self = g_new0(RelayNode, 1);
 
-	self->port = (BH__SignalRelayPort){.send = send_, .find_home = find_home_, .learnt = merged_};
+	self->port = (BH__SignalRelayPort){.send = send_, .find_home = find_home_, .merged = merged_};
 	self->node = n;
 	self->registry = bh__registry_new(1);
 	for (unsigned i = 0; i < endpoints; i++) {
@@ -136,7 +136,7 @@
 {
 	RelayNode *self = n->user;
 
-	return bh__signal_relay_hear_leaving(
+	return bh__signal_relay_receive_leaving(
 		self->relay, bh__registry_find(self->registry, endpoint_id_(endpoint)), n->fleet->now_us);
 }
 
@@ -261,7 +261,7 @@
 	start_relay_node_(late, 80);
 	late->silent = false;
 	assert_true(considers_usable_(late, 69));
-	bh__signal_relay_tell_node(((RelayNode *)home->user)->relay, late->id, f->now_us);
+	bh__signal_relay_notify_node(((RelayNode *)home->user)->relay, late->id, f->now_us);
 	member_fleet_settle(f);
 	for (unsigned k = 0; k < 80; k++)
 		assert_int_equal(considers_usable_(late, k), k >= 70);
@@ -282,7 +282,7 @@
 	assert_int_equal(count_nodes_using_(f, 1), 0);
 	late.as.signals.count = 1;
 	late.as.signals.item[0] =
-		(BH__SignalNews){.kind = BH__SIGNAL_LEAVING, .endpoint_id = endpoint_id_(1), .born_ms = BORN_MS};
+		(BH__SignalUpdate){.kind = BH__SIGNAL_LEAVING, .endpoint_id = endpoint_id_(1), .born_ms = BORN_MS};
 	for (unsigned i = 0; i < f->count; i++) {
 		RelayNode *self = f->node[i].user;
 		BH__EndpointEntry e = make_entry_(1, BORN_MS + 500);
@@ -389,7 +389,7 @@
 		bh__registry_note_end(self->registry, e->endpoint_id, w.incarnation, BH__USE_REFUSED, f->now_us);
 		bh__registered_endpoint_hear_backoff(e, f->now_us + LOAD_BACKOFF_US);
 		if (notifies)
-			bh__signal_relay_hear_overload(self->relay, e, f->now_us + LOAD_BACKOFF_US, f->now_us);
+			bh__signal_relay_receive_overload(self->relay, e, f->now_us + LOAD_BACKOFF_US, f->now_us);
 		return false;
 	}
 	g_array_append_val(requests, w);
@@ -494,8 +494,8 @@
 	RelayNode *self = n->user;
 	BH__NamedLimit received = {.in_force = per_s > 0, .per_s = per_s, .heard_us = n->fleet->now_us};
 
-	return bh__signal_relay_hear_limit(self->relay, bh__registry_find(self->registry, endpoint_id_(endpoint)),
-									   &received, n->fleet->now_us);
+	return bh__signal_relay_receive_limit(
+		self->relay, bh__registry_find(self->registry, endpoint_id_(endpoint)), &received, n->fleet->now_us);
 }
 
 /* Counts the nodes at which a limit of an endpoint is in force. */
