--- a/include/bayhoist/event.h
+++ b/include/bayhoist/event.h
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Events of a node: one log line each, and the time line over all processes. */
+/* Events of a node. Each is written as one log line; timelines over all processes are built from these. */
 #ifndef BAYHOIST_EVENT_H
 #define BAYHOIST_EVENT_H
 
@@ -26,11 +26,11 @@
 
 typedef struct {
 	BH__EventType type;
-	uint64_t request_id; /* 0: none, and so for the other ids */
-	uint64_t attempt_id;
+	uint64_t request_id; /* 0: none */
+	uint64_t attempt_id; /* 0: none */
 	const char *subject; /* name of a node, endpoint, pool, ...; may be NULL */
-	const char *what;    /* what happened, one word */
-	uint64_t value;
+	const char *what;    /* one word for what happened */
+	uint64_t value;      /* a count, revision or time, depending on `type` and `what` */
 } BH__Event;
 
 #endif
--- a/include/bayhoist/verdict.h
+++ b/include/bayhoist/verdict.h
@@ -1,18 +1,18 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The verdict of a request or of one attempt at it: whether an endpoint may have acted on it. */
+/* The verdict on a request or on one attempt: whether an endpoint may have run it. */
 #ifndef BAYHOIST_VERDICT_H
 #define BAYHOIST_VERDICT_H
 
-/* Ordered by how much may have happened. */
+/* In ascending order of how far the request may have got. */
 typedef enum {
-	BH__VERDICT_NOT_RUN,      /* no endpoint ran it and none will: safe to send again */
-	BH__VERDICT_MAY_HAVE_RUN, /* it may have run, or may still run */
-	BH__VERDICT_RAN           /* it ran to its end */
+	BH__VERDICT_NOT_RUN,      /* no endpoint has run it or will run it; a caller retry is safe */
+	BH__VERDICT_MAY_HAVE_RUN, /* an endpoint may have run it, or may still run it */
+	BH__VERDICT_RAN           /* it ran to completion */
 } BH__Verdict;
 
 extern const char *const BH__VerdictString[];
 
-/* Why a request ended without its whole answer. */
+/* Why a request ended without a complete answer. */
 typedef enum {
 	BH__REASON_NONE,
 	BH__REASON_BAD_REQUEST,
@@ -33,7 +33,7 @@
 
 extern const char *const BH__ReasonString[];
 
-/* HTTP status that tells a caller this reason. */
+/* Returns the HTTP status that reports `reason` to a caller. */
 unsigned bh__reason_get_http_status(BH__Reason reason);
 
 #endif
--- a/src/libbayhoist/admission.c
+++ b/src/libbayhoist/admission.c
@@ -1,25 +1,27 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Admission of callers' requests: model and length, at most once, the account's rate, the first ask. */
+/* Admission of callers' requests: checks of the model and the prompt length, at-most-once execution, the
+ * account's rate and the first ask. */
 #include "node_internal.h"
 
 #include <string.h>
 #include "bayhoist/hash.h"
 
-#define DEFAULT_MAX_TOKENS_ 256 /* for predictions, where the caller does not say */
+#define DEFAULT_MAX_TOKENS_ 256 /* assumed for predictions if the caller gives no limit */
 
 static bool refuse_(BH__Admitted *out, BH__Reason reason, uint64_t retry_after_us, const char *format, ...)
 	G_GNUC_PRINTF(4, 5);
-static const BH__Resource *check_(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t *once_entry);
-static bool start_(BH__Node *n, BH__RequestEntry *e, BH__Admitted *out);
-static void give_back_key_(BH__Node *n, uint64_t once_entry);
+static const BH__Resource *check_request_(BH__Node *n, const BH__Request *r, BH__Admitted *out,
+										  uint64_t *idempotency_entry);
+static bool start_request_(BH__Node *n, BH__RequestEntry *e, BH__Admitted *out);
+static void release_key_(BH__Node *n, uint64_t idempotency_entry);
 static const BH__Resource *check_model_(const BH__Node *n, const BH__Request *r, BH__Admitted *out);
-static bool claim_once_(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t *entry);
-static bool find_life_(BH__Node *n, const BH__Stamp *stamp, BH__Admitted *out);
+static bool claim_key_(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t *entry);
+static bool forward_to_stamp_node_(BH__Node *n, const BH__Stamp *stamp, BH__Admitted *out);
 static BH__RequestEntry *new_entry_(BH__Node *n, const BH__Request *r, const BH__Resource *model);
 static void fill_ask_(BH__Node *n, BH__RequestEntry *e, const BH__Request *r, const BH__Model *model);
 static bool take_quota_(BH__Node *n, BH__RequestEntry *e, uint64_t *retry_after_us, bool *wait);
 
-/* Fills in a refusal. Returns false, for callers to pass on. */
+/* Fills in a refusal with verdict NOT_RUN. Returns false, so that callers can return its result. */
 static bool refuse_(BH__Admitted *out, BH__Reason reason, uint64_t retry_after_us, const char *format, ...)
 {
 	va_list args;
@@ -35,36 +37,36 @@
 	return false;
 }
 
-/* Returns an id for a request to come. */
+/* Returns a new id for a caller's request. */
 uint64_t bh__node_new_request_id(BH__Node *n)
 {
 	return bh__node_new_id(n);
 }
 
-/* Takes a caller's request. With BH__ADMIT_ACCEPTED its answer and outcome come through the ports, maybe
- * before this returns. */
+/* Admits a caller's request or refuses it; `out` holds the decision. For BH__ADMIT_ACCEPTED, the answer and
+ * the outcome are delivered through the ports, possibly before this function returns. */
 void bh__node_request(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t now_us)
 {
 	const BH__Resource *model;
 	BH__RequestEntry *e;
-	uint64_t once_entry = 0;
+	uint64_t idempotency_entry = 0;
 
 	n->now_us = now_us;
 	memset(out, 0, sizeof *out);
 	n->counters.requests++;
-	model = check_(n, r, out, &once_entry);
+	model = check_request_(n, r, out, &idempotency_entry);
 	if (!model) {
 		n->counters.refused += out->admission == BH__ADMIT_REFUSED;
 		return;
 	}
 	e = new_entry_(n, r, model);
-	e->once_entry = once_entry;
-	if (once_entry)
+	e->idempotency_entry = idempotency_entry;
+	if (idempotency_entry)
 		e->answer = g_string_new(NULL);
 	out->admission = BH__ADMIT_ACCEPTED;
 	bh__node_event(n, BH__EVENT_REQUEST, e->request_id, 0, e->model, "arrived", e->ask.prompt_tokens);
-	if (!start_(n, e, out)) {
-		give_back_key_(n, once_entry);
+	if (!start_request_(n, e, out)) {
+		release_key_(n, idempotency_entry);
 		g_hash_table_remove(n->requests, &e->request_id);
 		n->counters.live--;
 		n->counters.refused++;
@@ -73,24 +75,26 @@
 	bh__node_drain_inbox(n);
 }
 
-/* Checks a request before anything is begun. Returns its model, or NULL with `out` filled in; `once_entry` is
- * set if its key was claimed. */
-static const BH__Resource *check_(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t *once_entry)
+/* Checks a request before it is started. Returns its model, or NULL with `out` filled in. Sets
+ * `idempotency_entry` if it claims the request's key. */
+static const BH__Resource *check_request_(BH__Node *n, const BH__Request *r, BH__Admitted *out,
+										  uint64_t *idempotency_entry)
 {
 	const BH__Resource *model = check_model_(n, r, out);
 
-	if (!model || (!r->repeatable && r->key && !claim_once_(n, r, out, once_entry)))
+	if (!model || (!r->repeatable && r->key && !claim_key_(n, r, out, idempotency_entry)))
 		return NULL;
 	if (n->counters.live < n->options.max_requests)
 		return model;
-	refuse_(out, BH__REASON_OVERLOAD, BH__SECOND_US, "this node holds %u requests, its limit",
+	refuse_(out, BH__REASON_OVERLOAD, BH__SECOND_US, "this node has reached its limit of %u requests",
 			n->counters.live);
-	give_back_key_(n, *once_entry);
+	release_key_(n, *idempotency_entry);
 	return NULL;
 }
 
-/* Asks for the account's rate and for a grant. Returns false if either is refused at once. */
-static bool start_(BH__Node *n, BH__RequestEntry *e, BH__Admitted *out)
+/* Takes tokens from the account's rate and asks for a grant. Returns false, with `out` filled in, if the
+ * request is quarantined or either is refused at once. */
+static bool start_request_(BH__Node *n, BH__RequestEntry *e, BH__Admitted *out)
 {
 	uint64_t retry_after_us = BH__SECOND_US;
 	uint64_t held_us = bh__crashes_get_held_us(n, &e->fingerprint);
@@ -99,21 +103,24 @@
 	if (held_us)
 		return refuse_(out, BH__REASON_CRASHES_ENDPOINTS, held_us, BH__HELD_MESSAGE);
 	if (!take_quota_(n, e, &retry_after_us, &wait))
-		return refuse_(out, BH__REASON_ACCOUNT_LIMIT, retry_after_us, "the account's token rate is used up");
+		return refuse_(out, BH__REASON_ACCOUNT_LIMIT, retry_after_us,
+					   "the account's token rate is exhausted");
 	if (!wait && !bh__request_ask(n, e))
-		return refuse_(out, BH__REASON_NO_ENDPOINT, BH__SECOND_US, "no endpoint serves \"%s\" now", e->model);
+		return refuse_(out, BH__REASON_NO_ENDPOINT, BH__SECOND_US, "no endpoint currently serves \"%s\"",
+					   e->model);
 	return true;
 }
 
-/* A request whose key was claimed is not run after all: the key may be used again. */
-static void give_back_key_(BH__Node *n, uint64_t once_entry)
+/* Releases a claimed idempotency key of a request that is not run after all; 0: no key was claimed. */
+static void release_key_(BH__Node *n, uint64_t idempotency_entry)
 {
 	BH__OnceOutcome not_run = {.verdict = BH__VERDICT_NOT_RUN};
 
-	if (once_entry)
-		bh__once_finish(n->once, once_entry, &not_run);
+	if (idempotency_entry)
+		bh__once_finish(n->idempotency_table, idempotency_entry, &not_run);
 }
 
+/* Checks the model, the adapter and the prompt length. Returns the model, or NULL with `out` filled in. */
 static const BH__Resource *check_model_(const BH__Node *n, const BH__Request *r, BH__Admitted *out)
 {
 	const BH__Catalog *c = bh__config_get_catalog(n->config);
@@ -143,8 +150,10 @@
 	return model;
 }
 
-/* Decides whether this node's life may run a request that must not be repeated. */
-static bool claim_once_(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t *entry)
+/* Claims the key of a request that is not repeatable, so that this boot of the node may run it. Returns
+ * false, with `out` filled in, if the request must not run here: its stamp names another node or boot, or the
+ * key is in use, finished or too old. */
+static bool claim_key_(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t *entry)
 {
 	BH__Stamp stamp;
 	BH__OnceOutcome known;
@@ -154,8 +163,9 @@
 		return refuse_(out, BH__REASON_BAD_REQUEST, 0,
 					   "a request with an idempotency key needs the stamp that the answer to \"where\" gave");
 	if (stamp.node_id != self->node_id || stamp.boot_id != self->boot_id)
-		return find_life_(n, &stamp, out);
-	switch (bh__once_claim(n->once, r->account_id, r->key, r->body_hash, stamp.sequence, entry, &known)) {
+		return forward_to_stamp_node_(n, &stamp, out);
+	switch (bh__once_claim(n->idempotency_table, r->account_id, r->key, r->body_hash, stamp.sequence, entry,
+						   &known)) {
 	case BH__ONCE_RUN:
 		return true;
 	case BH__ONCE_RUNNING:
@@ -175,14 +185,15 @@
 	case BH__ONCE_ELSEWHERE:
 		break;
 	}
-	refuse_(out, BH__REASON_STAMP_EXPIRED, 0, "the stamp is older than this node's memory: it may have run");
+	refuse_(out, BH__REASON_STAMP_EXPIRED, 0,
+			"the stamp is older than this node's idempotency records: it may have run");
 	out->outcome.verdict = BH__VERDICT_MAY_HAVE_RUN;
 	return false;
 }
 
-/* Finds the node whose life a stamp names, to pass the request to it. If that life is over or cannot be
- * reached, whether the request ran is not known. */
-static bool find_life_(BH__Node *n, const BH__Stamp *stamp, BH__Admitted *out)
+/* Forwards the request to the node boot that its stamp names. If that boot has ended or the node is dead, it
+ * is unknown whether the request ran, and the request is refused. Returns false, with `out` filled in. */
+static bool forward_to_stamp_node_(BH__Node *n, const BH__Stamp *stamp, BH__Admitted *out)
 {
 	const BH__MemberInfo *info = bh__members_find(n->members, stamp->node_id);
 
@@ -192,11 +203,13 @@
 		g_strlcpy(out->forward_address, info->caller_address, sizeof out->forward_address);
 		return false;
 	}
-	refuse_(out, BH__REASON_STAMP_EXPIRED, 0, "the node that the stamp names is gone: it may have run");
+	refuse_(out, BH__REASON_STAMP_EXPIRED, 0,
+			"the node that the stamp names is no longer available: it may have run");
 	out->outcome.verdict = BH__VERDICT_MAY_HAVE_RUN;
 	return false;
 }
 
+/* Returns a new entry in the table of requests, with its ask filled in. */
 static BH__RequestEntry *new_entry_(BH__Node *n, const BH__Request *r, const BH__Resource *model)
 {
 	const BH__Policy *policy = bh__catalog_get_policy(bh__config_get_catalog(n->config));
@@ -216,6 +229,8 @@
 	return e;
 }
 
+/* Fills in the request's ask and its needs in tokens and in bytes of engine memory. The number of prompt
+ * tokens is estimated from the prompt's length. */
 static void fill_ask_(BH__Node *n, BH__RequestEntry *e, const BH__Request *r, const BH__Model *model)
 {
 	const BH__Catalog *c = bh__config_get_catalog(n->config);
@@ -240,6 +255,9 @@
 	e->quota_tokens = a->prompt_tokens + a->max_tokens;
 }
 
+/* Takes the request's tokens from the account's rate. Sets `wait` if this node does not hold a rate share
+ * yet. Returns false, with `retry_after_us` set, if the rate is exhausted. Services and requests without a
+ * configured account are not limited. */
 static bool take_quota_(BH__Node *n, BH__RequestEntry *e, uint64_t *retry_after_us, bool *wait)
 {
 	const BH__Resource *r =
@@ -255,7 +273,7 @@
 	return d != BH__QUOTA_REFUSE;
 }
 
-/* Looks again at requests that wait for their account's rate. */
+/* Retries the requests that wait for a share of their account's rate. */
 void bh__requests_process_quota(BH__Node *n)
 {
 	GList *all = g_hash_table_get_values(n->requests);
@@ -268,10 +286,10 @@
 			continue;
 		if (!take_quota_(n, e, &retry_after_us, &wait))
 			bh__request_finish(n, e, BH__VERDICT_NOT_RUN, BH__REASON_ACCOUNT_LIMIT,
-							   retry_after_us / BH__MS_US, "the account's token rate is used up");
+							   retry_after_us / BH__MS_US, "the account's token rate is exhausted");
 		else if (!wait && !bh__request_ask(n, e))
 			bh__request_finish(n, e, BH__VERDICT_NOT_RUN, BH__REASON_NO_ENDPOINT, 1000,
-							   "no endpoint serves the model now");
+							   "no endpoint currently serves the model");
 	}
 	g_list_free(all);
 }
--- a/src/libbayhoist/attempt.c
+++ b/src/libbayhoist/attempt.c
@@ -1,37 +1,37 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Attempts at a request: grants taken up part by part, calls to engines, pieces of the answer, resumes and
- * retries. */
+/* Attempts at a request: grants for each part, calls to engines, answer chunks, resumes and retries. */
 #include "engines.h"
 #include "node_internal.h"
 
 #include <string.h>
 
-#define RESUMES_MAX_ 3
-#define ATTEMPTS_MAX_ 8
-#define DRAIN_PAUSE_US_ (200 * BH__MS_US) /* before a gang's next engine is asked again */
-#define DRAIN_WAITS_MAX_ 150
+#define RESUMES_MAX_ 3                    /* per attempt */
+#define ATTEMPTS_MAX_ 8                   /* per request */
+#define DRAIN_PAUSE_US_ (200 * BH__MS_US) /* before a gang's engine that refused a call is called again */
+#define DRAIN_WAITS_MAX_ 150              /* such pauses per attempt */
 #define PAUSE_FIRST_US_ (10 * BH__MS_US)
 #define PAUSE_MAX_US_ (1 * BH__SECOND_US)
-#define ANSWER_KEPT_MAX_ (256 * 1024)
+#define REPLAY_ANSWER_MAX_BYTES_ (256 * 1024) /* longer answers are not kept for a replay */
 
 static void accept_part_(BH__Node *n, BH__RequestEntry *e, const BH__Grant *g);
 static const BH__RequestPart *find_member_(const BH__RequestEntry *e, unsigned index,
 										   const BH__GrantMember **member);
 static unsigned count_members_(const BH__RequestEntry *e);
-static uint64_t attempt_id_(const BH__RequestEntry *e);
+static uint64_t get_current_attempt_id_(const BH__RequestEntry *e);
 static void start_attempt_(BH__Node *n, BH__RequestEntry *e);
-static void tell_progress_(BH__Node *n, const BH__RequestEntry *e);
-static void on_first_piece_(BH__Node *n, const BH__RequestEntry *e, uint64_t attempt_id);
+static void notify_progress_(BH__Node *n, const BH__RequestEntry *e);
+static void on_first_chunk_(BH__Node *n, const BH__RequestEntry *e, uint64_t attempt_id);
 static void send_to_scheduler_(BH__Node *n, uint64_t pool_id, BH__Message *m);
 static void on_segment_done_(BH__Node *n, BH__RequestEntry *e);
-static void on_broken_(BH__Node *n, BH__RequestEntry *e);
-static void give_up_attempt_(BH__Node *n, BH__RequestEntry *e, BH__ReleaseKind kind, bool may_have_run);
+static void on_connection_broken_(BH__Node *n, BH__RequestEntry *e);
+static void abandon_attempt_(BH__Node *n, BH__RequestEntry *e, BH__ReleaseKind kind, bool may_have_run);
 static void retry_(BH__Node *n, BH__RequestEntry *e, BH__Reason reason);
 
-/* A scheduler granted an ask. A grant that nobody waits for is given back. */
+/* Processes a grant: asks for the next part or starts the attempt. Releases a grant that no request waits
+ * for. */
 void bh__requests_process_grant(BH__Node *n, const BH__Grant *g, uint64_t from_node)
 {
-	BH__RequestEntry *e = g_hash_table_lookup(n->by_ask, &g->ask_id);
+	BH__RequestEntry *e = g_hash_table_lookup(n->requests_by_ask, &g->ask_id);
 
 	if (!e || e->state != BH__REQUEST_ASKING) {
 		BH__Message m = {.type = BH__MESSAGE_RELEASE};
@@ -51,7 +51,7 @@
 		start_attempt_(n, e);
 }
 
-/* Takes a grant as the next part, and counts its tokens from the start of the prompt. */
+/* Stores a grant for the next part and makes its token indexes relative to the start of the whole prompt. */
 static void accept_part_(BH__Node *n, BH__RequestEntry *e, const BH__Grant *g)
 {
 	BH__RequestPart *part = &e->part[e->granted_count++];
@@ -59,12 +59,13 @@
 	part->grant = *g;
 	for (unsigned i = 0; i < part->grant.member_count; i++)
 		part->grant.member[i].first_token += part->first_token;
-	g_hash_table_insert(n->by_attempt, &part->grant.grant_id, e);
+	g_hash_table_insert(n->requests_by_attempt, &part->grant.grant_id, e);
 	bh__node_event(n, BH__EVENT_GRANT, e->request_id, g->grant_id,
 				   bh__node_name_endpoint(n, g->member[0].endpoint_id), "granted", g->member_count);
 }
 
-/* Returns the part and the member in it that is number `index` over all parts; there must be one. */
+/* Returns the part that holds the engine with this index over all parts, and sets `member` to that engine.
+ * The index must be in range. */
 static const BH__RequestPart *find_member_(const BH__RequestEntry *e, unsigned index,
 										   const BH__GrantMember **member)
 {
@@ -78,6 +79,7 @@
 	g_assert_not_reached();
 }
 
+/* Returns the number of engines that all grants of the request name. */
 static unsigned count_members_(const BH__RequestEntry *e)
 {
 	unsigned count = 0;
@@ -86,13 +88,14 @@
 	return count;
 }
 
-/* Returns the id of the attempt under way, that of the engine at work; 0 if there is none. */
-static uint64_t attempt_id_(const BH__RequestEntry *e)
+/* Returns the attempt id for the engine that is at work, or 0 if the request holds no grant. */
+static uint64_t get_current_attempt_id_(const BH__RequestEntry *e)
 {
 	const BH__GrantMember *member;
 	return e->granted_count ? find_member_(e, e->segment, &member)->grant.grant_id : 0;
 }
 
+/* Starts an attempt once all parts are granted: calls the service or the first engine. */
 static void start_attempt_(BH__Node *n, BH__RequestEntry *e)
 {
 	e->attempts++;
@@ -111,6 +114,8 @@
 		bh__attempt_call(n, e, BH__CALL_ANSWER);
 }
 
+/* Calls an endpoint of the current attempt: for BH__CALL_SEGMENT the engine of the current segment, otherwise
+ * the last one. */
 void bh__attempt_call(BH__Node *n, BH__RequestEntry *e, BH__CallKind kind)
 {
 	unsigned index = kind == BH__CALL_SEGMENT ? e->segment : count_members_(e) - 1;
@@ -139,8 +144,8 @@
 	n->ports->attempt_start(n->ports, &call);
 }
 
-/* Tells the scheduler that the engine at work on a long prompt has done its prefill. */
-static void tell_progress_(BH__Node *n, const BH__RequestEntry *e)
+/* Notifies the scheduler that the current engine has completed its prefill, if the grant asks for this. */
+static void notify_progress_(BH__Node *n, const BH__RequestEntry *e)
 {
 	const BH__GrantMember *member;
 	const BH__Grant *g = &find_member_(e, e->segment, &member)->grant;
@@ -152,6 +157,7 @@
 		send_to_scheduler_(n, g->pool_id, &m);
 }
 
+/* Sends a message to a pool's current scheduler; drops it if the pool is unknown. */
 static void send_to_scheduler_(BH__Node *n, uint64_t pool_id, BH__Message *m)
 {
 	BH__Route *route = bh__routes_find(n->routes, pool_id);
@@ -159,37 +165,40 @@
 		bh__node_send(n, bh__route_get_scheduler(route, n->members), m);
 }
 
-static void on_first_piece_(BH__Node *n, const BH__RequestEntry *e, uint64_t attempt_id)
+/* Records the time to first token and notifies the scheduler that the prefill is done. */
+static void on_first_chunk_(BH__Node *n, const BH__RequestEntry *e, uint64_t attempt_id)
 {
 	uint64_t time_us = n->now_us - e->arrived_us;
 
-	tell_progress_(n, e);
+	notify_progress_(n, e);
 	bh__histogram_add(&n->counters.first_token[bh__size_class(e->prompt_tokens)], time_us);
 	bh__node_event(n, BH__EVENT_ATTEMPT, e->request_id, attempt_id, NULL, "first-token", time_us / BH__MS_US);
 }
 
-/* Takes one piece of an answer. Pieces of another attempt, or seen before, are dropped. */
+/* Processes one answer chunk. `offset` is its index in the answer. Drops chunks of an attempt that is not
+ * current and duplicates; resumes the stream if chunks are missing before this one. */
 void bh__node_process_piece(BH__Node *n, uint64_t attempt_id, uint64_t offset, const char *data, size_t len,
 							uint64_t now_us)
 {
-	BH__RequestEntry *e = g_hash_table_lookup(n->by_attempt, &attempt_id);
+	BH__RequestEntry *e = g_hash_table_lookup(n->requests_by_attempt, &attempt_id);
 
 	n->now_us = now_us;
-	if (!e || e->state != BH__REQUEST_ANSWER || attempt_id != attempt_id_(e) || offset < e->pieces) {
+	if (!e || e->state != BH__REQUEST_ANSWER || attempt_id != get_current_attempt_id_(e) ||
+		offset < e->pieces) {
 		n->counters.crossed++;
 		return;
 	}
-	if (offset > e->pieces) { /* pieces are missing: ask for them again */
+	if (offset > e->pieces) { /* chunks are missing: resume to get them again */
 		n->ports->attempt_cancel(n->ports, attempt_id, BH__NO_ENDPOINT);
-		on_broken_(n, e);
+		on_connection_broken_(n, e);
 		bh__node_drain_inbox(n);
 		return;
 	}
 	if (e->pieces == 0)
-		on_first_piece_(n, e, attempt_id);
+		on_first_chunk_(n, e, attempt_id);
 	e->pieces++;
 	n->counters.pieces++;
-	if (e->answer && e->answer->len + len < ANSWER_KEPT_MAX_) {
+	if (e->answer && e->answer->len + len < REPLAY_ANSWER_MAX_BYTES_) {
 		g_string_append_len(e->answer, data, (gssize)len);
 		if (!e->is_service)
 			g_string_append_c(e->answer, '\n');
@@ -202,16 +211,17 @@
 	bh__node_drain_inbox(n);
 }
 
-/* A call to an endpoint ended. `segment` is that of the call; `message` may be NULL. */
+/* Processes the end of a call to an endpoint. `segment` is the call's; `message` is the endpoint's error text
+ * for BH__ATTEMPT_REJECTED and may be NULL. Ignores calls that are not the current one. */
 void bh__node_process_attempt_end(BH__Node *n, uint64_t attempt_id, uint32_t segment, BH__AttemptEnd end,
 								  const char *message, uint64_t now_us)
 {
-	BH__RequestEntry *e = g_hash_table_lookup(n->by_attempt, &attempt_id);
+	BH__RequestEntry *e = g_hash_table_lookup(n->requests_by_attempt, &attempt_id);
 	bool answering;
 	const BH__GrantMember *member;
 
 	n->now_us = now_us;
-	if (!e || e->segment != segment || attempt_id != attempt_id_(e) ||
+	if (!e || e->segment != segment || attempt_id != get_current_attempt_id_(e) ||
 		(e->state != BH__REQUEST_SEGMENTS && e->state != BH__REQUEST_ANSWER))
 		return;
 	answering = e->state == BH__REQUEST_ANSWER;
@@ -232,21 +242,21 @@
 		if (segment > 0 && e->drain_waits < DRAIN_WAITS_MAX_) {
 			e->drain_waits++;
 			e->state = BH__REQUEST_PAUSED;
-			e->pause_end = BH__PAUSE_REPEAT;
+			e->pause_action = BH__PAUSE_CALL_AGAIN;
 			e->wake_us = n->now_us + DRAIN_PAUSE_US_;
 			break;
 		}
-		give_up_attempt_(n, e, BH__RELEASE_REFUSED, false);
+		abandon_attempt_(n, e, BH__RELEASE_REFUSED, false);
 		break;
 	case BH__ATTEMPT_UNREACHABLE:
-		give_up_attempt_(n, e, BH__RELEASE_FAILED, answering && e->resumes > 0);
+		abandon_attempt_(n, e, BH__RELEASE_FAILED, answering && e->resumes > 0);
 		break;
 	case BH__ATTEMPT_BROKEN:
 		bh__crashes_note_broken(n, e, member->endpoint_id);
-		on_broken_(n, e);
+		on_connection_broken_(n, e);
 		break;
 	case BH__ATTEMPT_UNKNOWN:
-		give_up_attempt_(n, e, BH__RELEASE_FAILED, true);
+		abandon_attempt_(n, e, BH__RELEASE_FAILED, true);
 		break;
 	case BH__ATTEMPT_REJECTED:
 		bh__request_finish(n, e, BH__VERDICT_MAY_HAVE_RUN, BH__REASON_ENDPOINT_FAILED, 0, message);
@@ -255,41 +265,43 @@
 	bh__node_drain_inbox(n);
 }
 
+/* Goes on with the next engine after one has prefilled its segment. */
 static void on_segment_done_(BH__Node *n, BH__RequestEntry *e)
 {
-	tell_progress_(n, e);
+	notify_progress_(n, e);
 	e->segment++;
-	bh__attempt_call_member(n, e);
+	bh__attempt_call_current_member(n, e);
 }
 
-/* Calls the engine whose turn it is. */
-void bh__attempt_call_member(BH__Node *n, BH__RequestEntry *e)
+/* Calls the engine of the current segment; the last engine also generates the answer. */
+void bh__attempt_call_current_member(BH__Node *n, BH__RequestEntry *e)
 {
 	bh__attempt_call(n, e, e->segment + 1u < count_members_(e) ? BH__CALL_SEGMENT : BH__CALL_ANSWER);
 }
 
-/* A connection broke. An answer is resumed on the same engine first: that is the only way which is right for
- * a request that must not be repeated, and the cheapest for any. */
-static void on_broken_(BH__Node *n, BH__RequestEntry *e)
+/* Processes a broken connection. An answer is first resumed on the same engine: this is the only correct way
+ * for a request that is not repeatable, and the cheapest for any other. */
+static void on_connection_broken_(BH__Node *n, BH__RequestEntry *e)
 {
 	if (e->state == BH__REQUEST_SEGMENTS) {
-		give_up_attempt_(n, e, BH__RELEASE_FAILED, false);
+		abandon_attempt_(n, e, BH__RELEASE_FAILED, false);
 		return;
 	}
 	e->may_have_run = true;
 	if (e->is_service || e->resumes >= RESUMES_MAX_) {
-		give_up_attempt_(n, e, BH__RELEASE_FAILED, true);
+		abandon_attempt_(n, e, BH__RELEASE_FAILED, true);
 		return;
 	}
 	e->state = BH__REQUEST_PAUSED;
-	e->pause_end = BH__PAUSE_RESUME;
+	e->pause_action = BH__PAUSE_RESUME;
 	e->wake_us = n->now_us + bh__attempt_get_pause_us(e->resumes);
 	e->resumes++;
 	n->counters.resumes++;
 }
 
-/* Ends an attempt that failed and tries another endpoint, or ends the request. */
-static void give_up_attempt_(BH__Node *n, BH__RequestEntry *e, BH__ReleaseKind kind, bool may_have_run)
+/* Ends a failed attempt and plans a retry on another endpoint, or ends the request. `kind` is reported to the
+ * scheduler; `may_have_run` tells whether the endpoint may have run the request. */
+static void abandon_attempt_(BH__Node *n, BH__RequestEntry *e, BH__ReleaseKind kind, bool may_have_run)
 {
 	const BH__GrantMember *member;
 	uint64_t failed;
@@ -306,8 +318,7 @@
 	retry_(n, e, BH__REASON_ENDPOINT_FAILED);
 }
 
-/* Tells engines to drop what they hold for the attempt: the gang's earlier members, and the last as well if
- * `with_last`. */
+/* Tells engines to drop what they hold for the attempt: all but the last, and the last too if `with_last`. */
 void bh__attempt_cancel(BH__Node *n, const BH__RequestEntry *e, bool with_last)
 {
 	for (unsigned i = 0; i + !with_last < count_members_(e); i++) {
@@ -317,7 +328,7 @@
 	}
 }
 
-/* Gives back all grants that the request holds. */
+/* Releases all grants that the request holds. `failed_endpoint` is used for BH__RELEASE_FAILED only. */
 void bh__attempt_release(BH__Node *n, BH__RequestEntry *e, BH__ReleaseKind kind, uint64_t failed_endpoint)
 {
 	for (unsigned p = 0; p < e->granted_count; p++) {
@@ -327,13 +338,14 @@
 		m.as.release.grant_id = g->grant_id;
 		m.as.release.kind = kind;
 		m.as.release.failed_endpoint = kind == BH__RELEASE_FAILED ? failed_endpoint : BH__NO_ENDPOINT;
-		g_hash_table_remove(n->by_attempt, &g->grant_id);
+		g_hash_table_remove(n->requests_by_attempt, &g->grant_id);
 		send_to_scheduler_(n, g->pool_id, &m);
 	}
 	e->granted_count = 0;
 }
 
-/* Plans another attempt, if the request may be tried again, the budget allows it and time is left. */
+/* Plans another attempt if the request may be retried, the attempt limit and the retry budget allow it and
+ * time is left. Otherwise ends the request with `reason`. */
 static void retry_(BH__Node *n, BH__RequestEntry *e, BH__Reason reason)
 {
 	bool allowed = (e->repeatable || !e->may_have_run) && !(e->is_service && e->pieces > 0);
@@ -341,7 +353,7 @@
 
 	if (allowed && e->attempts < ATTEMPTS_MAX_ && wake_us < e->deadline_us && bh__retry_take(&n->retry)) {
 		e->state = BH__REQUEST_PAUSED;
-		e->pause_end = BH__PAUSE_ASK;
+		e->pause_action = BH__PAUSE_ASK;
 		e->wake_us = wake_us;
 		e->tried_count = 0;
 		n->counters.retries++;
@@ -350,15 +362,17 @@
 	}
 	n->counters.retries_denied += allowed;
 	bh__request_finish(n, e, bh__request_get_failure_verdict(e), reason, 1000,
-					   "the endpoints tried have failed");
+					   "all endpoints that were tried have failed");
 }
 
+/* Returns the pause before a retry or resume: 10 ms, doubled `attempts` times, but at most 1 s. */
 uint64_t bh__attempt_get_pause_us(uint32_t attempts)
 {
 	return MIN(PAUSE_FIRST_US_ << MIN(attempts, 10u), PAUSE_MAX_US_);
 }
 
-bool bh__requests_hold_attempt(const BH__Node *n, uint64_t attempt_id)
+/* Returns true if a live request holds the grant with this attempt id. */
+bool bh__requests_has_attempt(const BH__Node *n, uint64_t attempt_id)
 {
-	return g_hash_table_contains(n->by_attempt, &attempt_id);
+	return g_hash_table_contains(n->requests_by_attempt, &attempt_id);
 }
--- a/src/libbayhoist/include/private/node_internal.h
+++ b/src/libbayhoist/include/private/node_internal.h
@@ -1,7 +1,8 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The parts of a node, shared by its modules: node.c (messages, ticks), spread.c (configuration and account
- * rates among nodes), admission.c, request.c and attempt.c (callers' requests), duty.c (pools that this node
- * schedules), orders.c (orders to endpoints). */
+/* The state of a node and the functions that its modules share: node.c (messages, ticks), spread.c (exchange
+ * of configuration and account rates with other nodes), admission.c, request.c and attempt.c (callers'
+ * requests), crash_duty.c (quarantine of requests that crash endpoints), duty.c (pools that this node
+ * schedules) and orders.c (orders to endpoints). */
 #ifndef BAYHOIST_PRIVATE_NODE_INTERNAL_H
 #define BAYHOIST_PRIVATE_NODE_INTERNAL_H
 
@@ -11,102 +12,104 @@
 #include "retry.h"
 #include "routes.h"
 
-#define BH__TRIED_POOLS_MAX 3
+#define BH__TRIED_POOLS_MAX 3 /* pools that one attempt asks before the request is refused */
 #define BH__HELD_MESSAGE                                                                                     \
 	"endpoints have crashed each time they ran this request; it is not sent to any for now"
 
 typedef enum {
-	BH__REQUEST_QUOTA,    /* waits for its account's rate */
+	BH__REQUEST_QUOTA,    /* waits for a share of its account's rate */
 	BH__REQUEST_ASKING,   /* waits for a grant */
-	BH__REQUEST_SEGMENTS, /* engines of a gang prefill one after another */
+	BH__REQUEST_SEGMENTS, /* the engines of a gang prefill one after another */
 	BH__REQUEST_ANSWER,   /* the answer is being generated */
-	BH__REQUEST_PAUSED    /* waits before another attempt or a resume */
+	BH__REQUEST_PAUSED    /* waits until wake_us, then does pause_action */
 } BH__RequestState;
 
 extern const char *const BH__RequestStateString[];
 
-/* What a pause ends in. */
+/* What to do when a request's pause ends. */
 typedef enum {
-	BH__PAUSE_ASK,    /* a new ask */
-	BH__PAUSE_RESUME, /* a resume of the stream */
-	BH__PAUSE_REPEAT  /* the same call again: a gang's engine has not drained yet */
-} BH__PauseEnd;
+	BH__PAUSE_ASK,       /* ask for a new grant */
+	BH__PAUSE_RESUME,    /* resume the answer stream */
+	BH__PAUSE_CALL_AGAIN /* repeat the call that a gang's engine refused because it had not drained yet */
+} BH__PauseAction;
 
+/* A live request of a caller. */
 typedef struct {
 	uint64_t request_id;
 	BH__RequestState state;
 	uint64_t model_id;
 	const char *model; /* owned */
-	bool is_service;
-	bool repeatable;
-	bool may_have_run;
+	bool is_service;   /* the model is a service that is not an engine */
+	bool repeatable;   /* the request may safely run more than once */
+	bool may_have_run; /* an endpoint may have run an earlier call of this request */
 	uint64_t arrived_us;
 	uint64_t deadline_us;
-	uint64_t wake_us; /* when to resend the ask, or to end the pause */
-	BH__PauseEnd pause_end;
-	uint64_t prompt_tokens;
-	uint64_t kv_bytes;
-	BH__Ask ask;        /* for one part; ask_id 0: none out */
-	uint64_t scheduler; /* that was asked */
-	uint64_t tried_pool[BH__TRIED_POOLS_MAX];
+	uint64_t wake_us; /* when to resend the ask or end the pause */
+	BH__PauseAction pause_action;
+	uint64_t prompt_tokens; /* estimated from the prompt's length */
+	uint64_t kv_bytes;      /* engine memory for the prompt and the answer */
+	BH__Ask ask;            /* for one part of the prompt; ask_id 0: no ask is outstanding */
+	uint64_t scheduler;     /* node id that the last ask was sent to */
+	uint64_t tried_pool[BH__TRIED_POOLS_MAX]; /* pools that refused the request */
 	unsigned tried_count;
-	unsigned part_count; /* planned; nearly always 1 */
-	unsigned granted_count;
+	unsigned part_count;    /* parts planned; 1 unless the prompt is too large for any one pool */
+	unsigned granted_count; /* parts granted so far */
 	BH__RequestPart part[BH__PARTS_MAX];
-	unsigned segment; /* engine at work, counted over all parts */
-	uint64_t pieces;  /* of the answer that the caller has */
-	uint64_t quota_tokens;
-	uint32_t attempts;
-	uint32_t resumes; /* of the current attempt */
-	uint32_t drain_waits;
-	uint64_t once_entry; /* 0: repeatable, or without a key */
+	unsigned segment;           /* index of the engine that is at work, counted over all parts */
+	uint64_t pieces;            /* answer chunks that the caller has */
+	uint64_t quota_tokens;      /* tokens charged to the account */
+	uint32_t attempts;          /* attempts started */
+	uint32_t resumes;           /* resumes of the current attempt */
+	uint32_t drain_waits;       /* pauses of the current attempt for gang engines that had not drained */
+	uint64_t idempotency_entry; /* 0: the request is repeatable or has no key */
 	BH__Fingerprint fingerprint;
-	bool was_broken; /* an endpoint broke it off, and that was reported */
-	GString *answer; /* kept for a later replay; NULL: not kept */
+	bool was_broken; /* an endpoint broke the request off, and this was reported as a possible crash */
+	GString *answer; /* answer so far, for a later replay; NULL: not kept */
 } BH__RequestEntry;
 
+/* A pool that this node schedules. */
 typedef struct {
 	uint64_t pool_id;
 	BH__Pool *pool;
-	uint64_t next_poll_us;
-	uint64_t next_list_us; /* of a poll that asks for attempts too */
-	uint64_t next_digest_us;
+	uint64_t next_poll_us;   /* when to request the next load reports */
+	uint64_t next_list_us;   /* when to request load reports that list the attempts */
+	uint64_t next_digest_us; /* when to make the next pool digest */
 } BH__Duty;
 
 typedef struct BH__Orders BH__Orders;
 
 struct BH__Node {
 	BH__NodePorts *ports;
-	BH__MembersPort members_port; /* these ports lead back here: found by their offset */
+	BH__MembersPort members_port; /* callbacks find the node by the offset of their port in this structure */
 	BH__PoolPort pool_port;
 	BH__CrashPort crash_port;
 	BH__NodeOptions options;
-	uint64_t now_us;
-	bool draining;
-	bool leaving;
+	uint64_t now_us;        /* time of the call or tick in progress */
+	bool is_draining_inbox; /* bh__node_drain_inbox() is running */
+	bool leaving;           /* a planned stop has begun */
 	GRand *rand;
 	BH__Store *store;
 	BH__Config *config;
 	BH__Members *members;
-	BH__Once *once;
+	BH__Once *idempotency_table;
 	BH__Quota *quota;
 	BH__Routes *routes;
 	BH__Orders *orders;
 	BH__CrashWatch *crashes;
 	BH__RetryBudget retry;
-	GHashTable *keys;        /* hex of a key's hash -> BH__Resource * of its account */
-	GHashTable *requests;    /* BH__RequestEntry by request id */
-	GHashTable *by_ask;      /* the same by ask id */
-	GHashTable *by_attempt;  /* the same by attempt id */
-	GHashTable *duties;      /* BH__Duty by pool id */
-	GHashTable *leaving_vms; /* set of name ids that the VM list shows as leaving */
-	GQueue inbox;            /* BH__Message * to this node itself */
-	uint64_t next_id;
-	uint64_t members_seen; /* version of members that duties follow */
-	uint64_t next_poll_us; /* of the store's head */
-	uint64_t next_hold_us;
-	uint64_t next_quota_us;
-	uint64_t config_asked_us;
+	GHashTable *accounts_by_key;     /* hex SHA-256 of an API key -> BH__Resource * of its account */
+	GHashTable *requests;            /* BH__RequestEntry by request id */
+	GHashTable *requests_by_ask;     /* BH__RequestEntry by id of its outstanding ask */
+	GHashTable *requests_by_attempt; /* BH__RequestEntry by attempt id (grant id) */
+	GHashTable *duties;              /* BH__Duty by pool id */
+	GHashTable *leaving_vms;         /* set of hashed names of VMs that the VM list shows as leaving */
+	GQueue inbox;                    /* BH__Message * that this node has sent to itself */
+	uint64_t next_id;                /* counter behind bh__node_new_id() */
+	uint64_t members_version;        /* version of `members` that duties were last updated for */
+	uint64_t next_poll_us;           /* when to poll the configuration head in the store */
+	uint64_t next_hold_us;           /* when to send the lists of held grants */
+	uint64_t next_quota_us;          /* when to request shares of account rates */
+	uint64_t config_asked_us; /* when configuration was last requested from a node; 0: none is awaited */
 	BH__NodeCounters counters;
 };
 
@@ -130,12 +133,12 @@
 void bh__requests_process_tick(BH__Node *n);
 void bh__requests_process_grant(BH__Node *n, const BH__Grant *g, uint64_t from_node);
 void bh__requests_process_refuse(BH__Node *n, uint64_t ask_id, BH__Reason reason, uint64_t retry_after_ms);
-void bh__requests_process_schedulers(BH__Node *n);
+void bh__requests_process_scheduler_change(BH__Node *n);
 void bh__requests_process_quota(BH__Node *n);
 void bh__requests_send_holds(BH__Node *n);
 void bh__requests_finish_all(BH__Node *n);
 void bh__requests_free(gpointer entry);
-bool bh__requests_hold_attempt(const BH__Node *n, uint64_t attempt_id);
+bool bh__requests_has_attempt(const BH__Node *n, uint64_t attempt_id);
 
 /* request.c, for admission.c and attempt.c */
 bool bh__request_ask(BH__Node *n, BH__RequestEntry *e);
@@ -147,7 +150,7 @@
 
 /* attempt.c */
 void bh__attempt_call(BH__Node *n, BH__RequestEntry *e, BH__CallKind kind);
-void bh__attempt_call_member(BH__Node *n, BH__RequestEntry *e);
+void bh__attempt_call_current_member(BH__Node *n, BH__RequestEntry *e);
 void bh__attempt_cancel(BH__Node *n, const BH__RequestEntry *e, bool with_last);
 void bh__attempt_release(BH__Node *n, BH__RequestEntry *e, BH__ReleaseKind kind, uint64_t failed_endpoint);
 uint64_t bh__attempt_get_pause_us(uint32_t attempts);
--- a/src/libbayhoist/include/private/retry.h
+++ b/src/libbayhoist/include/private/retry.h
@@ -1,16 +1,16 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The retry budget: retries are a share of recent first attempts, so that a failure is not made worse by the
- * work of retrying. */
+/* The retry budget: limits retries to a share of recent first attempts, so that retries do not amplify the
+ * load during a failure. */
 #ifndef BAYHOIST_PRIVATE_RETRY_H
 #define BAYHOIST_PRIVATE_RETRY_H
 
 #include "bayhoist/types.h"
 
 typedef struct {
-	double level;
-	uint64_t first_attempts;
-	uint64_t retries;
-	uint64_t denied;
+	double level;            /* retries that may be taken now */
+	uint64_t first_attempts; /* total recorded */
+	uint64_t retries;        /* total taken */
+	uint64_t denied;         /* total refused because the budget was used up */
 } BH__RetryBudget;
 
 void bh__retry_init(BH__RetryBudget *b);
--- a/src/libbayhoist/node.c
+++ b/src/libbayhoist/node.c
@@ -1,19 +1,21 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The node: owns the parts, passes messages among them and runs them at each tick. Messages to the node
- * itself wait in an inbox until the current call is done, so that no part is entered twice. */
+/* The node: owns its modules, dispatches messages to them and runs them at each tick. Messages that the node
+ * sends to itself wait in an inbox until the current call is done, so that no module is re-entered. */
 #include "node_internal.h"
 
 #include <string.h>
 #include "bayhoist/hash.h"
 
 #define CONFIG_POLL_US_ BH__SECOND_US
-#define CONFIG_POLLERS_ 2 /* nodes of a data hall that read the store's head */
-#define NEWS_FANOUT_ 4
+#define CONFIG_POLLERS_ 2  /* nodes of a data hall that poll the configuration head in the store */
+#define REVISION_FANOUT_ 4 /* nodes that are notified of a newly installed revision */
 #define HOLD_PERIOD_US_ (5 * BH__SECOND_US)
 #define QUOTA_PERIOD_US_ (100 * BH__MS_US)
 #define WHERE_TTL_S_ 5
-#define BUSY_FACTOR_ 2
-#define BUSY_SLACK_ 32
+/* A node is overloaded if it has more live requests than OVERLOAD_FACTOR_ times the mean over all usable
+ * nodes, plus OVERLOAD_MARGIN_. */
+#define OVERLOAD_FACTOR_ 2
+#define OVERLOAD_MARGIN_ 32
 
 const char *const BH__EventTypeString[] = {"member",  "duty",  "config", "request",   "grant",
 										   "attempt", "retry", "finish", "orphan",    "endpoint",
@@ -28,14 +30,14 @@
 static void members_changed_(BH__MembersPort *port, const BH__MemberInfo *info, BH__MemberState old);
 static void add_digests_(BH__Node *n, BH__Message *m);
 static void dispatch_(BH__Node *n, const BH__Message *m);
-static void hear_probe_(BH__Node *n, const BH__Message *m);
+static void process_ping_(BH__Node *n, const BH__Message *m);
 static void dispatch_to_pool_(BH__Node *n, const BH__Message *m);
-static void send_back_(BH__Node *n, const BH__Message *m);
-static void forget_gone_(BH__Node *n, const BH__Vm *vms, unsigned count);
-static uint32_t mean_load_(const BH__Node *n);
-static BH__Node *of_members_port_(BH__MembersPort *port);
+static void refuse_unscheduled_ask_(BH__Node *n, const BH__Message *m);
+static void forget_replaced_nodes_(BH__Node *n, const BH__Vm *vms, unsigned count);
+static uint32_t get_mean_load_(const BH__Node *n);
+static BH__Node *node_from_members_port_(BH__MembersPort *port);
 
-/* Returns a new node. `options->self.name`, hall, addresses and boot_id must be set. */
+/* Returns a new node. The name, hall, addresses and boot_id of `options->self` must be set. */
 BH__Node *bh__node_new(BH__NodePorts *ports, BH__StorePort *store, const BH__NodeOptions *options)
 {
 	BH__Node *n = g_new0(BH__Node, 1);
@@ -50,15 +52,15 @@
 	n->store = bh__store_new(store, options->store_reads_per_s, options->store_writes_per_s);
 	n->members = bh__members_new(&n->members_port, &n->options.self, options->seed);
 	bh__crashes_init(n);
-	n->once = bh__once_new(options->once_entries, options->once_answer_bytes);
+	n->idempotency_table = bh__once_new(options->once_entries, options->once_answer_bytes);
 	n->quota = bh__quota_new();
 	n->routes = bh__routes_new();
 	n->orders = bh__orders_new();
 	bh__retry_init(&n->retry);
-	n->keys = g_hash_table_new(g_str_hash, g_str_equal);
+	n->accounts_by_key = g_hash_table_new(g_str_hash, g_str_equal);
 	n->requests = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, bh__requests_free);
-	n->by_ask = g_hash_table_new(g_int64_hash, g_int64_equal);
-	n->by_attempt = g_hash_table_new(g_int64_hash, g_int64_equal);
+	n->requests_by_ask = g_hash_table_new(g_int64_hash, g_int64_equal);
+	n->requests_by_attempt = g_hash_table_new(g_int64_hash, g_int64_equal);
 	n->duties = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, bh__duties_free);
 	n->leaving_vms = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 	g_queue_init(&n->inbox);
@@ -66,20 +68,21 @@
 	return n;
 }
 
+/* Ends all requests and frees the node. */
 void bh__node_delete(BH__Node *n)
 {
 	bh__requests_finish_all(n);
 	g_queue_clear_full(&n->inbox, g_free);
 	g_hash_table_unref(n->duties);
-	g_hash_table_unref(n->by_attempt);
-	g_hash_table_unref(n->by_ask);
+	g_hash_table_unref(n->requests_by_attempt);
+	g_hash_table_unref(n->requests_by_ask);
 	g_hash_table_unref(n->requests);
-	g_hash_table_unref(n->keys);
+	g_hash_table_unref(n->accounts_by_key);
 	g_hash_table_unref(n->leaving_vms);
 	bh__orders_delete(n->orders);
 	bh__routes_delete(n->routes);
 	bh__quota_delete(n->quota);
-	bh__once_delete(n->once);
+	bh__once_delete(n->idempotency_table);
 	bh__crash_watch_delete(n->crashes);
 	bh__members_delete(n->members);
 	bh__config_delete(n->config);
@@ -88,17 +91,18 @@
 	g_free(n);
 }
 
-static BH__Node *of_members_port_(BH__MembersPort *port)
+static BH__Node *node_from_members_port_(BH__MembersPort *port)
 {
 	return (BH__Node *)(void *)((char *)port - offsetof(BH__Node, members_port));
 }
 
-/* Returns an id that no other node life has used or will use. */
+/* Returns an id that is unique among all nodes and all their boots. */
 uint64_t bh__node_new_id(BH__Node *n)
 {
 	return bh__hash_pair(n->options.self.boot_id, ++n->next_id);
 }
 
+/* Passes an event to the event port. `subject` may be NULL; an id of 0 means none. */
 void bh__node_event(BH__Node *n, BH__EventType type, uint64_t request_id, uint64_t attempt_id,
 					const char *subject, const char *what, uint64_t value)
 {
@@ -106,6 +110,7 @@
 	n->ports->event(n->ports, &e);
 }
 
+/* Returns the configured name of an endpoint, or "" if the configuration does not hold it. */
 const char *bh__node_name_endpoint(const BH__Node *n, uint64_t endpoint_id)
 {
 	const BH__Resource *r =
@@ -113,18 +118,19 @@
 	return r ? r->name : "";
 }
 
-/* Returns true if an endpoint is to receive no new work: operators or the VM list say so. */
+/* Returns true if an endpoint must get no new work because the configuration or the VM list marks it as
+ * leaving. */
 bool bh__node_endpoint_leaves(const BH__Node *n, const BH__Resource *endpoint)
 {
 	return bh__catalog_is_leaving(bh__config_get_catalog(n->config), &endpoint->as.endpoint) ||
 		   g_hash_table_contains(n->leaving_vms, &endpoint->id);
 }
 
-/* A new revision is in force: follow it, and tell a few nodes at once. */
+/* Applies a newly installed configuration revision and notifies a few other nodes of it at once. */
 static void on_installed_(void *ctx, uint64_t revision)
 {
 	BH__Node *n = ctx;
-	const BH__MemberInfo *peer[NEWS_FANOUT_];
+	const BH__MemberInfo *peer[REVISION_FANOUT_];
 	unsigned count;
 
 	load_keys_(n);
@@ -132,7 +138,7 @@
 	bh__duties_follow(n);
 	bh__node_event(n, BH__EVENT_CONFIG, 0, 0, NULL, "installed", revision);
 	bh__members_set_self(n->members, n->leaving, revision, n->counters.live);
-	count = bh__members_sample(n->members, peer, NEWS_FANOUT_);
+	count = bh__members_sample(n->members, peer, REVISION_FANOUT_);
 	for (unsigned i = 0; i < count; i++) {
 		BH__Message m = {.type = BH__MESSAGE_CONFIG_NEWS};
 		m.as.config_ask.revision = revision;
@@ -140,23 +146,25 @@
 	}
 }
 
+/* Rebuilds the table of API keys from the accounts of the configuration. */
 static void load_keys_(BH__Node *n)
 {
 	const GPtrArray *all = bh__catalog_get_all(bh__config_get_catalog(n->config), BH__KIND_ACCOUNT);
 
-	g_hash_table_remove_all(n->keys);
+	g_hash_table_remove_all(n->accounts_by_key);
 	for (guint i = 0; i < all->len; i++) {
 		BH__Resource *r = g_ptr_array_index(all, i);
 		for (char **key = r->as.account.key_sha256; key && *key; key++)
-			g_hash_table_insert(n->keys, *key, r);
+			g_hash_table_insert(n->accounts_by_key, *key, r);
 	}
 }
 
-/* Returns the account that owns a key, by the key's SHA-256 in lower-case hex, or NULL. */
+/* Returns the account that owns an API key and sets its id and name. `key_sha256` is the key's SHA-256 in
+ * lower-case hex. Returns NULL, with both unset, if no account has the key. */
 const BH__Account *bh__node_find_account(const BH__Node *n, const char *key_sha256, uint64_t *account_id,
 										 const char **name)
 {
-	const BH__Resource *r = g_hash_table_lookup(n->keys, key_sha256);
+	const BH__Resource *r = g_hash_table_lookup(n->accounts_by_key, key_sha256);
 
 	if (!r)
 		return NULL;
@@ -165,16 +173,18 @@
 	return &r->as.account;
 }
 
+/* Sends a message of the membership protocol; pings and their answers carry pool digests as well. */
 static void members_send_(BH__MembersPort *port, const char *address, BH__Message *m)
 {
-	BH__Node *n = of_members_port_(port);
+	BH__Node *n = node_from_members_port_(port);
 
 	if (m->type == BH__MESSAGE_PING || m->type == BH__MESSAGE_ACK)
 		add_digests_(n, m);
 	n->ports->send(n->ports, address, m);
 }
 
-/* Pool digests ride on probes: our own first, then others from a random place on. */
+/* Adds pool digests that are less than 2 s old to a ping or its answer: first those of this node's own pools,
+ * then others, starting at a random one so that each is sent in turn. */
 static void add_digests_(BH__Node *n, BH__Message *m)
 {
 	unsigned count = bh__routes_get_count(n->routes);
@@ -190,9 +200,10 @@
 	}
 }
 
+/* Reports a change of a member's state. When a member dies, takes back its rate shares and its grants. */
 static void members_changed_(BH__MembersPort *port, const BH__MemberInfo *info, BH__MemberState old)
 {
-	BH__Node *n = of_members_port_(port);
+	BH__Node *n = node_from_members_port_(port);
 
 	bh__node_event(n, BH__EVENT_MEMBER, 0, 0, info->name,
 				   info->leaving ? "leaving" : BH__MemberStateString[info->state], old);
@@ -206,7 +217,8 @@
 	}
 }
 
-/* Sends a message to a node; one to this node goes to the inbox. Lists inside stay the caller's. */
+/* Sends a message to a node, or puts it into the inbox if it is for this node. Drops it if the node is not a
+ * known member. Lists that the message points to stay owned by the caller. */
 void bh__node_send(BH__Node *n, uint64_t node_id, BH__Message *m)
 {
 	const BH__MemberInfo *info = bh__members_find(n->members, node_id);
@@ -220,22 +232,22 @@
 		n->ports->send(n->ports, info->peer_address, m);
 }
 
-/* Handles what this node has sent to itself. */
+/* Processes the messages that this node has sent to itself, unless that is in progress already. */
 void bh__node_drain_inbox(BH__Node *n)
 {
 	BH__Message *m;
 
-	if (n->draining)
+	if (n->is_draining_inbox)
 		return;
-	n->draining = true;
+	n->is_draining_inbox = true;
 	while ((m = g_queue_pop_head(&n->inbox))) {
 		dispatch_(n, m);
 		g_free(m);
 	}
-	n->draining = false;
+	n->is_draining_inbox = false;
 }
 
-/* Takes a message from a peer. */
+/* Processes a message from another node. */
 void bh__node_process_message(BH__Node *n, const BH__Message *m, uint64_t now_us)
 {
 	n->now_us = now_us;
@@ -244,12 +256,13 @@
 	bh__node_drain_inbox(n);
 }
 
+/* Passes a message to the module that processes its type; ignores other types. */
 static void dispatch_(BH__Node *n, const BH__Message *m)
 {
 	if (bh__crash_watch_process_message(n->crashes, m, n->now_us))
 		return;
 	if (bh__members_process_message(n->members, m, n->now_us)) {
-		hear_probe_(n, m);
+		process_ping_(n, m);
 		return;
 	}
 	switch (m->type) {
@@ -267,7 +280,7 @@
 		bh__requests_process_refuse(n, m->as.refuse.ask_id, m->as.refuse.reason, m->as.refuse.retry_after_ms);
 		break;
 	case BH__MESSAGE_ORPHAN:
-		if (!bh__requests_hold_attempt(n, m->as.orphan.attempt_id))
+		if (!bh__requests_has_attempt(n, m->as.orphan.attempt_id))
 			bh__duties_process_orphan(n, m->as.orphan.endpoint_id, m->as.orphan.attempt_id);
 		break;
 	case BH__MESSAGE_CONFIG_NEWS:
@@ -292,8 +305,9 @@
 	}
 }
 
-/* Takes what rides on a probe besides membership. */
-static void hear_probe_(BH__Node *n, const BH__Message *m)
+/* Processes what a ping or its answer carries besides membership: pool digests and the sender's configuration
+ * revision. */
+static void process_ping_(BH__Node *n, const BH__Message *m)
 {
 	if (m->type != BH__MESSAGE_PING && m->type != BH__MESSAGE_ACK)
 		return;
@@ -302,8 +316,8 @@
 	bh__spread_hear_revision(n, m->from_node, m->as.ping.self.config_revision);
 }
 
-/* Hands a message to the pool that it is for. An ask for a pool that this node does not schedule is sent
- * back; other messages for it are moot. */
+/* Passes a message to the pool that it is for. If this node does not schedule the pool, it refuses an ask and
+ * drops any other message, which only the pool's scheduler can use. */
 static void dispatch_to_pool_(BH__Node *n, const BH__Message *m)
 {
 	uint64_t pool_id = m->type == BH__MESSAGE_ASK    ? m->as.ask.pool_id
@@ -313,7 +327,7 @@
 
 	if (!d) {
 		if (m->type == BH__MESSAGE_ASK)
-			send_back_(n, m);
+			refuse_unscheduled_ask_(n, m);
 		return;
 	}
 	switch (m->type) {
@@ -337,8 +351,9 @@
 	}
 }
 
-/* Tells the sender of an ask that this node does not schedule its pool. */
-static void send_back_(BH__Node *n, const BH__Message *m)
+/* Refuses an ask for a pool that this node does not schedule. The reason makes the sender ask the current
+ * scheduler. */
+static void refuse_unscheduled_ask_(BH__Node *n, const BH__Message *m)
 {
 	BH__Message answer = {.type = BH__MESSAGE_REFUSE};
 
@@ -348,7 +363,7 @@
 	bh__node_send(n, m->from_node, &answer);
 }
 
-/* Runs all that time moves. To be called every 10 to 50 ms. */
+/* Runs all timers. To be called every 10 to 50 ms. */
 void bh__node_process_tick(BH__Node *n, uint64_t now_us)
 {
 	const BH__MemberInfo *self = bh__members_get_self(n->members);
@@ -364,10 +379,10 @@
 		if (bh__members_get_rank(n->members, bh__hash_name("config-poll"), self->hall) < CONFIG_POLLERS_)
 			bh__config_poll(n->config, now_us);
 	}
-	if (n->members_seen != bh__members_get_version(n->members)) {
-		n->members_seen = bh__members_get_version(n->members);
+	if (n->members_version != bh__members_get_version(n->members)) {
+		n->members_version = bh__members_get_version(n->members);
 		bh__duties_follow(n);
-		bh__requests_process_schedulers(n);
+		bh__requests_process_scheduler_change(n);
 	}
 	bh__duties_process_tick(n);
 	bh__orders_process_tick(n);
@@ -384,7 +399,7 @@
 	bh__node_drain_inbox(n);
 }
 
-/* A connection to a peer was refused or broke. */
+/* Processes a refused or broken connection to another node. */
 void bh__node_process_unreachable(BH__Node *n, const char *peer_address, uint64_t now_us)
 {
 	n->now_us = now_us;
@@ -395,7 +410,8 @@
 	}
 }
 
-/* Takes the platform's VM list: seeds to join by, and endpoints that are leaving. */
+/* Processes the platform's VM list: its nodes become seeds for joining, its leaving VMs get no new work, and
+ * this node starts its planned stop if it is listed as leaving. */
 void bh__node_update_vm_list(BH__Node *n, const BH__Vm *vms, unsigned count, uint64_t now_us)
 {
 	n->now_us = now_us;
@@ -409,18 +425,19 @@
 		if (vms[i].leaving && id == n->options.self.node_id)
 			bh__node_leave(n, now_us);
 	}
-	forget_gone_(n, vms, count);
+	forget_replaced_nodes_(n, vms, count);
 	bh__duties_follow(n);
 }
 
-/* Forgets dead nodes that a list which names nodes does not name: their VMs were replaced. */
-static void forget_gone_(BH__Node *n, const BH__Vm *vms, unsigned count)
+/* Forgets dead nodes that are not in the VM list, as their VMs were replaced. A list without any node's
+ * address gives no evidence of that, so it is ignored. */
+static void forget_replaced_nodes_(BH__Node *n, const BH__Vm *vms, unsigned count)
 {
-	bool names_nodes = false;
+	bool has_peer_addresses = false;
 
 	for (unsigned i = 0; i < count; i++)
-		names_nodes |= vms[i].peer_address[0] != '\0';
-	for (unsigned i = bh__members_get_count(n->members); names_nodes && i-- > 1;) {
+		has_peer_addresses |= vms[i].peer_address[0] != '\0';
+	for (unsigned i = bh__members_get_count(n->members); has_peer_addresses && i-- > 1;) {
 		const BH__MemberInfo *info = bh__members_get(n->members, i);
 		bool listed = false;
 		for (unsigned k = 0; k < count; k++)
@@ -430,8 +447,8 @@
 	}
 }
 
-/* Takes an endpoint's load report, for the pool that this node schedules. `loaded` names the versions and
- * adapters that the endpoint holds, NULL at the end. */
+/* Processes an endpoint's load report if this node schedules the endpoint's pool. `loaded` is a
+ * NULL-terminated list of the model versions and adapters that the endpoint has loaded. */
 void bh__node_process_report(BH__Node *n, const BH__LoadReport *r, const char *const *loaded, uint64_t now_us)
 {
 	const BH__Resource *e =
@@ -446,6 +463,7 @@
 	bh__node_drain_inbox(n);
 }
 
+/* Processes the store's reply to an operation of this node. */
 void bh__node_process_store_reply(BH__Node *n, const BH__StoreReply *reply, uint64_t now_us)
 {
 	n->now_us = now_us;
@@ -453,7 +471,7 @@
 	bh__node_drain_inbox(n);
 }
 
-/* Starts a planned stop: gives up duties and callers, and lets live requests end. */
+/* Starts a planned stop: hands its duties over, attracts no more callers and lets live requests end. */
 void bh__node_leave(BH__Node *n, uint64_t now_us)
 {
 	n->now_us = now_us;
@@ -462,19 +480,21 @@
 	n->leaving = true;
 	bh__node_event(n, BH__EVENT_NODE, 0, 0, n->options.self.name, "leaving", n->counters.live);
 	bh__members_set_self(n->members, true, bh__config_get_revision(n->config), n->counters.live);
-	bh__members_announce(n->members); /* a pool must not wait for its next scheduler until a probe comes by */
+	/* the next schedulers must take the pools over without waiting for a ping */
+	bh__members_announce(n->members);
 	bh__duties_follow(n);
-	bh__requests_process_schedulers(n);
+	bh__requests_process_scheduler_change(n);
 	bh__node_drain_inbox(n);
 }
 
-/* Returns true when nothing is left that a stop would cut off. */
+/* Returns true if no request is live, so that the process can stop without breaking one off. */
 bool bh__node_is_idle(const BH__Node *n)
 {
 	return g_hash_table_size(n->requests) == 0;
 }
 
-static uint32_t mean_load_(const BH__Node *n)
+/* Returns the mean number of live requests of usable nodes, or 0 if no node is usable. */
+static uint32_t get_mean_load_(const BH__Node *n)
 {
 	uint64_t sum = 0;
 	unsigned count = 0;
@@ -489,15 +509,17 @@
 	return count ? (uint32_t)(sum / count) : 0;
 }
 
-/* Answers "where": usable nodes, those of the caller's hall first, overloaded ones last, otherwise by
- * rendezvous weight, so that a caller keeps its node and a lost node's callers spread over all. */
+/* Answers a "where" request with an idempotency stamp and up to BH__WHERE_MAX usable nodes. Nodes that are
+ * not overloaded come first, within these the ones in `hall`, which may be NULL, and within these the order
+ * is by rendezvous hashing: a caller keeps its node, and the callers of a lost node spread over the others.
+ */
 void bh__node_get_where(BH__Node *n, uint64_t caller_id, const char *hall, BH__Where *out)
 {
 	uint64_t weight[BH__WHERE_MAX];
-	uint32_t busy = mean_load_(n) * BUSY_FACTOR_ + BUSY_SLACK_;
+	uint32_t overload_limit = get_mean_load_(n) * OVERLOAD_FACTOR_ + OVERLOAD_MARGIN_;
 	BH__Stamp stamp = {.node_id = n->options.self.node_id,
 					   .boot_id = bh__members_get_self(n->members)->boot_id,
-					   .sequence = bh__once_issue(n->once)};
+					   .sequence = bh__once_issue(n->idempotency_table)};
 
 	memset(out, 0, sizeof *out);
 	out->ttl_s = WHERE_TTL_S_;
@@ -508,7 +530,7 @@
 		unsigned at = out->count;
 		if (!bh__member_is_usable(info))
 			continue;
-		if (info->load <= busy)
+		if (info->load <= overload_limit)
 			w |= UINT64_C(1) << 63;
 		if (hall && !strcmp(hall, info->hall))
 			w |= UINT64_C(1) << 62;
@@ -549,18 +571,21 @@
 	return d ? d->pool : NULL;
 }
 
+/* Returns the id of the node that schedules a pool, or 0 if the pool is unknown. */
 uint64_t bh__node_get_scheduler(BH__Node *n, uint64_t pool_id)
 {
 	BH__Route *r = bh__routes_find(n->routes, pool_id);
 	return r ? bh__route_get_scheduler(r, n->members) : 0;
 }
 
+/* Returns the last digest received for a pool, or NULL if there is none. */
 const BH__PoolDigest *bh__node_get_digest(const BH__Node *n, uint64_t pool_id)
 {
 	const BH__Route *r = bh__routes_find(n->routes, pool_id);
 	return r && r->digest_us ? &r->digest : NULL;
 }
 
+/* Writes the ids of up to `max` known pools to `out` and returns their number. */
 unsigned bh__node_get_pool_ids(const BH__Node *n, uint64_t *out, unsigned max)
 {
 	unsigned count = MIN(bh__routes_get_count(n->routes), max);
--- a/src/libbayhoist/request.c
+++ b/src/libbayhoist/request.c
@@ -1,19 +1,21 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Callers' requests on their entry node: asks for grants, time, and the verdict. Every request ends by
- * bh__request_finish() exactly once, by its deadline. Admission is in admission.c, attempts in attempt.c. */
+/* Callers' requests on their entry node: asks for grants, timers and the verdict. Every request ends through
+ * exactly one call of bh__request_finish(), at its deadline at the latest. Admission is in admission.c,
+ * attempts are in attempt.c. */
 #include "node_internal.h"
 
 #include <string.h>
 
 #define RESEND_ASK_US_ (2 * BH__SECOND_US)
-#define MOVED_PAUSE_US_ (10 * BH__MS_US) /* before an ask is sent to the node that schedules now */
+/* Before an ask is resent because the pool has another scheduler now. */
+#define SCHEDULER_MOVED_PAUSE_US_ (10 * BH__MS_US)
 
 const char *const BH__RequestStateString[] = {"quota", "asking", "segments", "answer", "paused"};
 
 static void send_ask_(BH__Node *n, BH__RequestEntry *e);
 static void wake_(BH__Node *n, BH__RequestEntry *e);
 
-/* Frees an entry; given to the table of requests. */
+/* Frees a request entry; the destroy function of the table of requests. */
 void bh__requests_free(gpointer entry)
 {
 	BH__RequestEntry *e = entry;
@@ -23,7 +25,7 @@
 	g_free(e);
 }
 
-/* Chooses where the request is to run and asks for the first grant. Returns false if there is no pool left to
+/* Chooses the pool or pools for the request and asks for the first grant. Returns false if no pool is left to
  * ask. */
 bool bh__request_ask(BH__Node *n, BH__RequestEntry *e)
 {
@@ -47,8 +49,8 @@
 	return true;
 }
 
-/* Asks for the next part. Parts are asked for one after another in the order of their pools' ids, so that two
- * requests that need the same pools cannot each hold what the other waits for. */
+/* Asks for a grant for the next part. Parts are asked for one at a time, in the order of their pools' ids, so
+ * that two requests that need the same pools cannot deadlock by each holding what the other waits for. */
 void bh__request_ask_part(BH__Node *n, BH__RequestEntry *e)
 {
 	const BH__RequestPart *part = &e->part[e->granted_count];
@@ -60,10 +62,11 @@
 	e->ask.ask_id = bh__node_new_id(n);
 	e->state = BH__REQUEST_ASKING;
 	bh__routes_note_sent(n->routes, route, &e->ask);
-	g_hash_table_insert(n->by_ask, &e->ask.ask_id, e);
+	g_hash_table_insert(n->requests_by_ask, &e->ask.ask_id, e);
 	send_ask_(n, e);
 }
 
+/* Sends the outstanding ask to the pool's current scheduler and schedules its resending. */
 static void send_ask_(BH__Node *n, BH__RequestEntry *e)
 {
 	BH__Route *route = bh__routes_find(n->routes, e->ask.pool_id);
@@ -76,7 +79,7 @@
 	bh__node_send(n, e->scheduler, &m);
 }
 
-/* Forgets the ask that is out. */
+/* Drops the outstanding ask, if any. With `withdraw`, also cancels it at the scheduler. */
 void bh__request_drop_ask(BH__Node *n, BH__RequestEntry *e, bool withdraw)
 {
 	BH__Message m = {.type = BH__MESSAGE_WITHDRAW};
@@ -85,26 +88,28 @@
 		return;
 	m.as.release.pool_id = e->ask.pool_id;
 	m.as.release.grant_id = e->ask.ask_id;
-	g_hash_table_remove(n->by_ask, &e->ask.ask_id);
+	g_hash_table_remove(n->requests_by_ask, &e->ask.ask_id);
 	e->ask.ask_id = 0;
 	if (withdraw)
 		bh__node_send(n, e->scheduler, &m);
 }
 
+/* Returns the verdict of a request that ends without a complete answer. */
 BH__Verdict bh__request_get_failure_verdict(const BH__RequestEntry *e)
 {
 	return e->may_have_run ? BH__VERDICT_MAY_HAVE_RUN : BH__VERDICT_NOT_RUN;
 }
 
-/* A scheduler refused an ask: another pool may take it. */
+/* Processes a scheduler's refusal of an ask: asks another pool, or ends the request if none is left. A
+ * request with several parts ends at once. */
 void bh__requests_process_refuse(BH__Node *n, uint64_t ask_id, BH__Reason reason, uint64_t retry_after_ms)
 {
-	BH__RequestEntry *e = g_hash_table_lookup(n->by_ask, &ask_id);
+	BH__RequestEntry *e = g_hash_table_lookup(n->requests_by_ask, &ask_id);
 
 	if (!e)
 		return;
-	if (reason == BH__REASON_NODE_LEAVING) { /* not the scheduler any more: the ask is sent again shortly */
-		e->wake_us = n->now_us + MOVED_PAUSE_US_;
+	if (reason == BH__REASON_NODE_LEAVING) { /* no longer the pool's scheduler: resend the ask shortly */
+		e->wake_us = n->now_us + SCHEDULER_MOVED_PAUSE_US_;
 		return;
 	}
 	if (e->tried_count < BH__TRIED_POOLS_MAX)
@@ -114,12 +119,12 @@
 	if (e->part_count == 1 && e->tried_count < BH__TRIED_POOLS_MAX && bh__request_ask(n, e))
 		return;
 	bh__request_finish(n, e, bh__request_get_failure_verdict(e), reason, retry_after_ms,
-					   "no pool can take the request in time");
+					   "no pool can run the request in time");
 }
 
-/* Membership changed: asks to a node that no longer schedules their pool go to the one that does, and it is
- * told which grants we hold there. */
-void bh__requests_process_schedulers(BH__Node *n)
+/* Applies a change of membership: moves asks to the current scheduler of their pool and notifies schedulers
+ * of the grants that this node holds. */
+void bh__requests_process_scheduler_change(BH__Node *n)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -140,7 +145,8 @@
 	bh__requests_send_holds(n);
 }
 
-/* Tells each pool's scheduler which grants this node holds: whole ones to a scheduler that is new to us. */
+/* Notifies each pool's scheduler of the grants that this node holds: in full to a scheduler, or boot of it,
+ * that has not been notified before, otherwise by id only. */
 void bh__requests_send_holds(BH__Node *n)
 {
 	for (unsigned i = 0; i < bh__routes_get_count(n->routes); i++) {
@@ -153,7 +159,7 @@
 		gpointer key;
 		gpointer value;
 
-		g_hash_table_iter_init(&it, n->by_attempt);
+		g_hash_table_iter_init(&it, n->requests_by_attempt);
 		while (g_hash_table_iter_next(&it, &key, &value)) {
 			const BH__RequestEntry *e = value;
 			for (unsigned p = 0; p < e->granted_count; p++)
@@ -180,7 +186,7 @@
 	}
 }
 
-/* Ends requests whose time is up, wakes those that pause, and sends asks again that got no answer. */
+/* Ends requests whose deadline has passed, resumes those whose pause is over and resends unanswered asks. */
 void bh__requests_process_tick(BH__Node *n)
 {
 	GList *all = g_hash_table_get_values(n->requests);
@@ -189,7 +195,7 @@
 		BH__RequestEntry *e = it->data;
 		if (n->now_us >= e->deadline_us)
 			bh__request_finish(n, e, bh__request_get_failure_verdict(e), BH__REASON_DEADLINE, 1000,
-							   "the request's time is up");
+							   "request deadline exceeded");
 		else if ((e->state == BH__REQUEST_PAUSED || e->state == BH__REQUEST_ASKING) &&
 				 n->now_us >= e->wake_us)
 			wake_(n, e);
@@ -197,22 +203,23 @@
 	g_list_free(all);
 }
 
+/* Resends a request's ask or does what its pause was for. A request that is quarantined by now ends. */
 static void wake_(BH__Node *n, BH__RequestEntry *e)
 {
 	if (bh__crashes_end_held(n, e))
 		return;
 	if (e->state == BH__REQUEST_ASKING)
 		send_ask_(n, e);
-	else if (e->pause_end == BH__PAUSE_RESUME)
+	else if (e->pause_action == BH__PAUSE_RESUME)
 		bh__attempt_call(n, e, BH__CALL_RESUME);
-	else if (e->pause_end == BH__PAUSE_REPEAT)
-		bh__attempt_call_member(n, e);
+	else if (e->pause_action == BH__PAUSE_CALL_AGAIN)
+		bh__attempt_call_current_member(n, e);
 	else if (!bh__request_ask(n, e))
 		bh__request_finish(n, e, bh__request_get_failure_verdict(e), BH__REASON_NO_ENDPOINT, 1000,
-						   "no endpoint serves the model now");
+						   "no endpoint currently serves the model");
 }
 
-/* The caller hung up: nothing more is of use to it. */
+/* Processes a caller's disconnection: ends its request, as nobody waits for the answer. */
 void bh__node_process_caller_gone(BH__Node *n, uint64_t request_id, uint64_t now_us)
 {
 	BH__RequestEntry *e = g_hash_table_lookup(n->requests, &request_id);
@@ -220,15 +227,17 @@
 	n->now_us = now_us;
 	if (!e)
 		return;
-	/* a request that must run to its end for its key goes on without its caller */
-	if (e->once_entry && (e->state == BH__REQUEST_SEGMENTS || e->state == BH__REQUEST_ANSWER ||
-						  (e->state == BH__REQUEST_PAUSED && e->pause_end != BH__PAUSE_ASK)))
+	/* a running request with an idempotency key continues, so that a caller retry gets its outcome */
+	if (e->idempotency_entry && (e->state == BH__REQUEST_SEGMENTS || e->state == BH__REQUEST_ANSWER ||
+								 (e->state == BH__REQUEST_PAUSED && e->pause_action != BH__PAUSE_ASK)))
 		return;
 	bh__request_finish(n, e, bh__request_get_failure_verdict(e), BH__REASON_CALLER_GONE, 0, NULL);
 	bh__node_drain_inbox(n);
 }
 
-/* Ends a request: gives back what it holds, records its outcome, tells its caller. */
+/* Ends a request: releases its grants, records its outcome under its idempotency key and reports it to the
+ * caller. Frees `e`. `retry_after_ms` 0 suggests no caller retry; `message` may be NULL. The reported verdict
+ * is MAY_HAVE_RUN rather than NOT_RUN if an answer is being generated. */
 void bh__request_finish(BH__Node *n, BH__RequestEntry *e, BH__Verdict verdict, BH__Reason reason,
 						uint64_t retry_after_ms, const char *message)
 {
@@ -242,17 +251,17 @@
 	bh__request_drop_ask(n, e, true);
 	if (e->granted_count) {
 		if (verdict != BH__VERDICT_RAN && e->state == BH__REQUEST_ANSWER)
-			outcome.verdict = BH__VERDICT_MAY_HAVE_RUN; /* the attempt was under way */
+			outcome.verdict = BH__VERDICT_MAY_HAVE_RUN; /* the attempt is in progress */
 		bh__attempt_cancel(n, e, verdict != BH__VERDICT_RAN);
 		bh__attempt_release(n, e, BH__RELEASE_DONE, BH__NO_ENDPOINT);
 	}
-	if (e->once_entry) {
+	if (e->idempotency_entry) {
 		BH__OnceOutcome kept = {.verdict = outcome.verdict, .reason = reason};
 		if (verdict == BH__VERDICT_RAN && e->answer) {
 			kept.answer = e->answer->str;
 			kept.answer_len = e->answer->len;
 		}
-		bh__once_finish(n->once, e->once_entry, &kept);
+		bh__once_finish(n->idempotency_table, e->idempotency_entry, &kept);
 	}
 	n->counters.finished[outcome.verdict]++;
 	if (outcome.verdict == BH__VERDICT_RAN)
@@ -265,13 +274,13 @@
 	bh__requests_free(e);
 }
 
-/* Ends every request: the node goes away. */
+/* Ends every request, because the node is shutting down. */
 void bh__requests_finish_all(BH__Node *n)
 {
 	GList *all = g_hash_table_get_values(n->requests);
 
 	for (GList *it = all; it; it = it->next)
 		bh__request_finish(n, it->data, bh__request_get_failure_verdict(it->data), BH__REASON_NODE_LEAVING,
-						   1000, "the node stops");
+						   1000, "the node is shutting down");
 	g_list_free(all);
 }
