--- a/include/bayhoist/node.h
+++ b/include/bayhoist/node.h
@@ -18,7 +18,7 @@
 
 typedef enum {
 	BH__CALL_SEGMENT, /* prefill one segment of a prompt and keep the result in engine memory */
-	BH__CALL_ANSWER,  /* prefill the last segment and generate the answer, starting at piece_offset */
+	BH__CALL_ANSWER,  /* prefill the last or only segment and generate the answer, starting at piece_offset */
 	BH__CALL_RESUME,  /* continue the answer stream of an attempt whose connection broke */
 	BH__CALL_SERVICE  /* call a service that is not an engine */
 } BH__CallKind;
@@ -71,7 +71,7 @@
 	uint64_t weight_bytes; /* size of the weights to load */
 } BH__Order;
 
-/* Callbacks for a node's output. The results of calls come back through
+/* Callbacks for a node's output. The results of calls come back through the functions
  * bh__node_process_*(). */
 typedef struct BH__NodePorts {
 	void (*send)(struct BH__NodePorts *ports, const char *peer_address, const BH__Message *m);
@@ -92,8 +92,8 @@
 typedef struct {
 	BH__MemberInfo self; /* the node sets node_id to the hash of the name */
 	uint32_t seed;
-	double store_reads_per_s;  /* rate limit on reads of the store */
-	double store_writes_per_s; /* rate limit on writes to the store */
+	double store_reads_per_s;  /* sustained limit on reads of the store */
+	double store_writes_per_s; /* sustained limit on writes to the store */
 	uint32_t max_requests;     /* live requests at which the node refuses new ones */
 	uint32_t once_entries;     /* capacity of the idempotency table */
 	size_t once_answer_bytes;  /* memory for the answers that the idempotency table keeps */
@@ -129,7 +129,8 @@
 	BH__Outcome outcome;                   /* set for a refusal or a replay */
 	char message[160];                     /* text that `outcome.message` of a refusal points to */
 	char forward_address[BH__ADDRESS_LEN]; /* caller address of the node to forward to */
-	const char *answer; /* of a replay, owned by the idempotency table; NULL if it was not kept */
+	/* Answer to replay, valid until the node's next call; NULL if it was too long to keep. */
+	const char *answer;
 	size_t answer_len;
 } BH__Admitted;
 
--- a/src/libbayhoist/admission.c
+++ b/src/libbayhoist/admission.c
@@ -151,8 +151,8 @@
 }
 
 /* Claims the key of a request that is not repeatable, so that this boot of the node may run it. Returns
- * false, with `out` filled in, if the request must not run here: its stamp names another node or boot, or the
- * key is in use, finished or too old. */
+ * false, with `out` filled in, if the request must not run here: its stamp is missing or names another
+ * node or boot, or the key is in use, was used for another request, has an outcome already or is too old. */
 static bool claim_key_(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t *entry)
 {
 	BH__Stamp stamp;
--- a/src/libbayhoist/include/private/node_internal.h
+++ b/src/libbayhoist/include/private/node_internal.h
@@ -91,7 +91,7 @@
 	BH__Store *store;
 	BH__Config *config;
 	BH__Members *members;
-	BH__Once *idempotency_table;
+	BH__Once *idempotency_table; /* outcomes of requests with an idempotency key */
 	BH__Quota *quota;
 	BH__Routes *routes;
 	BH__Orders *orders;
--- a/src/libbayhoist/node.c
+++ b/src/libbayhoist/node.c
@@ -91,6 +91,7 @@
 	g_free(n);
 }
 
+/* Returns the node that contains this port. */
 static BH__Node *node_from_members_port_(BH__MembersPort *port)
 {
 	return (BH__Node *)(void *)((char *)port - offsetof(BH__Node, members_port));
@@ -200,7 +201,8 @@
 	}
 }
 
-/* Reports a change of a member's state. When a member dies, takes back its rate shares and its grants. */
+/* Reports a change of a member's state. When a member dies, its rate shares and its grants in
+ * this node's pools are reclaimed. */
 static void members_changed_(BH__MembersPort *port, const BH__MemberInfo *info, BH__MemberState old)
 {
 	BH__Node *n = node_from_members_port_(port);
@@ -599,6 +601,7 @@
 	return &n->counters;
 }
 
+/* Returns false while the node backs off after a failed store operation. */
 bool bh__node_store_is_up(const BH__Node *n)
 {
 	return bh__store_is_up(n->store);
