--- a/include/bayhoist/node.h
+++ b/include/bayhoist/node.h
@@ -18,7 +18,8 @@
 
 typedef enum {
 	BH__CALL_SEGMENT, /* prefill one segment of a prompt and keep the result in engine memory */
-	BH__CALL_ANSWER,  /* prefill the last or only segment and generate the answer, starting at piece_offset */
+	BH__CALL_ANSWER,  /* prefill the last or only segment and generate the answer, starting at
+						 answer_chunk_offset */
 	BH__CALL_RESUME,  /* continue the answer stream of an attempt whose connection broke */
 	BH__CALL_SERVICE  /* call a service that is not an engine */
 } BH__CallKind;
@@ -35,8 +36,8 @@
 	uint64_t first_token; /* index of the segment's first token in the prompt */
 	uint64_t token_count; /* tokens in the segment */
 	uint32_t priority_level;
-	uint64_t piece_offset; /* answer chunks that the caller already has */
-	uint8_t member_count;  /* earlier segments; 0 if this is the first */
+	uint64_t answer_chunk_offset; /* answer chunks that the caller already has */
+	uint8_t member_count;         /* earlier segments; 0 if this is the first */
 	/* Endpoint and attempt id under which each earlier segment is held. */
 	uint64_t member[BH__GRANT_MEMBERS_MAX * BH__PARTS_MAX];
 	uint64_t member_attempt[BH__GRANT_MEMBERS_MAX * BH__PARTS_MAX];
@@ -81,10 +82,10 @@
 	 * `with_attempts` is set. */
 	void (*endpoint_poll)(struct BH__NodePorts *ports, uint64_t endpoint_id, uint64_t cache_sequence,
 						  bool with_attempts);
-	/* Probes whether an endpoint still listens; the result goes to bh__node_process_endpoint_look(). */
-	void (*endpoint_look)(struct BH__NodePorts *ports, uint64_t endpoint_id);
+	/* Probes whether an endpoint still listens; the result goes to bh__node_process_endpoint_probe(). */
+	void (*endpoint_probe)(struct BH__NodePorts *ports, uint64_t endpoint_id);
 	void (*endpoint_order)(struct BH__NodePorts *ports, const BH__Order *order);
-	void (*answer_piece)(struct BH__NodePorts *ports, uint64_t request_id, const char *data, size_t len);
+	void (*answer_chunk)(struct BH__NodePorts *ports, uint64_t request_id, const char *data, size_t len);
 	void (*answer_end)(struct BH__NodePorts *ports, uint64_t request_id, const BH__Outcome *outcome);
 	void (*event)(struct BH__NodePorts *ports, const BH__Event *event);
 } BH__NodePorts;
@@ -132,7 +133,7 @@
 	/* Answer to replay, valid until the node's next call; NULL if it was too long to keep. */
 	const char *answer;
 	size_t answer_len;
-} BH__Admitted;
+} BH__AdmissionResult;
 
 #define BH__WHERE_MAX 16
 
@@ -157,7 +158,8 @@
 void bh__node_process_message(BH__Node *n, const BH__Message *m, uint64_t now_us);
 void bh__node_process_unreachable(BH__Node *n, const char *peer_address, uint64_t now_us);
 void bh__node_update_vm_list(BH__Node *n, const BH__Vm *vms, unsigned count, uint64_t now_us);
-void bh__node_process_endpoint_look(BH__Node *n, uint64_t endpoint_id, BH__CrashProof proof, uint64_t now_us);
+void bh__node_process_endpoint_probe(BH__Node *n, uint64_t endpoint_id, BH__CrashProof proof,
+									 uint64_t now_us);
 void bh__node_process_report(BH__Node *n, const BH__LoadReport *report, const char *const *loaded,
 							 uint64_t now_us);
 void bh__node_process_store_reply(BH__Node *n, const BH__StoreReply *reply, uint64_t now_us);
@@ -166,10 +168,10 @@
 
 /* Callers' requests and the calls made for them. */
 uint64_t bh__node_new_request_id(BH__Node *n);
-void bh__node_request(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t now_us);
+void bh__node_request(BH__Node *n, const BH__Request *r, BH__AdmissionResult *out, uint64_t now_us);
 void bh__node_process_caller_gone(BH__Node *n, uint64_t request_id, uint64_t now_us);
-void bh__node_process_piece(BH__Node *n, uint64_t attempt_id, uint64_t offset, const char *data, size_t len,
-							uint64_t now_us);
+void bh__node_process_answer_chunk(BH__Node *n, uint64_t attempt_id, uint64_t offset, const char *data,
+								   size_t len, uint64_t now_us);
 void bh__node_process_attempt_end(BH__Node *n, uint64_t attempt_id, uint32_t segment, BH__AttemptEnd end,
 								  const char *message, uint64_t now_us);
 void bh__node_get_where(BH__Node *n, uint64_t caller_id, const char *hall, BH__Where *out);
@@ -195,12 +197,12 @@
 	uint64_t retries_denied; /* retries prevented by the retry budget, the deadline or the attempt limit */
 	uint64_t resumes;
 	uint64_t orphans_cancelled;
-	uint64_t pieces;  /* answer chunks sent to callers */
-	uint64_t crossed; /* answer chunks dropped: duplicates, or not of a live attempt */
-	uint32_t live;    /* accepted requests that have not ended */
+	uint64_t answer_chunks;         /* answer chunks sent to callers */
+	uint64_t dropped_answer_chunks; /* answer chunks dropped: duplicates, or not of a live attempt */
+	uint32_t live;                  /* accepted requests that have not ended */
 	/* Microseconds from arrival to the first answer chunk, by size class of the prompt. */
 	BH__Histogram first_token[BH__SIZE_CLASSES];
-	BH__Histogram whole; /* microseconds from arrival to the end of a complete answer */
+	BH__Histogram total_us; /* microseconds from arrival to the end of a complete answer */
 } BH__NodeCounters;
 
 const BH__NodeCounters *bh__node_get_counters(const BH__Node *n);
--- a/src/bayhoistd/admin.c
+++ b/src/bayhoistd/admin.c
@@ -281,8 +281,8 @@
 	add_u64_(o, "retries_denied", c->retries_denied);
 	add_u64_(o, "resumes", c->resumes);
 	add_u64_(o, "orphans_cancelled", c->orphans_cancelled);
-	add_u64_(o, "pieces", c->pieces);
-	add_u64_(o, "crossed", c->crossed);
+	add_u64_(o, "pieces", c->answer_chunks);
+	add_u64_(o, "crossed", c->dropped_answer_chunks);
 	add_u64_(o, "peer_bytes_out", peers_get_counters(d->peers)->bytes_out);
 	add_u64_(o, "peer_bytes_in", peers_get_counters(d->peers)->bytes_in);
 	add_u64_(o, "peer_messages_out", peers_get_counters(d->peers)->messages_out);
@@ -332,7 +332,7 @@
 	for (int i = 0; i < BH__SIZE_CLASSES; i++)
 		add_histogram_(out, "first_token", SizeLabels[i], &c->first_token[i]);
 	evbuffer_add_printf(out, "# TYPE bayhoist_whole_ms histogram\n");
-	add_histogram_(out, "whole", "", &c->whole);
+	add_histogram_(out, "whole", "", &c->total_us);
 }
 
 static void on_metrics_(struct evhttp_request *req, Daemon *d)
--- a/src/bayhoistd/caller.c
+++ b/src/bayhoistd/caller.c
@@ -64,7 +64,7 @@
 static BH__Fingerprint fingerprint_(const Caller *c, uint64_t account_id);
 static void submit_(Caller *c, BH__Request *r, const CallerOptions *o, uint64_t account_id);
 static void on_closed_(struct evhttp_connection *conn, void *arg);
-static void replay_(Caller *c, const BH__Admitted *a);
+static void replay_(Caller *c, const BH__AdmissionResult *a);
 static void refuse_(struct evhttp_request *req, uint64_t request_id, const BH__Outcome *o);
 static void start_stream_(Caller *c);
 static void send_(Caller *c, const char *before, const char *data, size_t len, const char *after);
@@ -334,7 +334,7 @@
 static void submit_(Caller *c, BH__Request *r, const CallerOptions *o, uint64_t account_id)
 {
 	Daemon *d = c->daemon;
-	BH__Admitted admitted;
+	BH__AdmissionResult admitted;
 
 	r->request_id = c->request_id;
 	r->account_id = account_id;
@@ -392,7 +392,7 @@
 }
 
 /* Answers with what the same request was answered before. */
-static void replay_(Caller *c, const BH__Admitted *a)
+static void replay_(Caller *c, const BH__AdmissionResult *a)
 {
 	BH__Outcome o = a->outcome;
 	const char *line = a->answer;
--- a/src/bayhoistd/look.c
+++ b/src/bayhoistd/look.c
@@ -35,7 +35,7 @@
 	Look *l = look;
 
 	g_hash_table_remove(l->daemon->looks, l);
-	bh__node_process_endpoint_look(l->daemon->node, l->endpoint_id, Proofs[end], clock_now_us());
+	bh__node_process_endpoint_probe(l->daemon->node, l->endpoint_id, Proofs[end], clock_now_us());
 	g_free(l);
 }
 
--- a/src/bayhoistd/main.c
+++ b/src/bayhoistd/main.c
@@ -105,9 +105,9 @@
 							   .attempt_start = upstream_start,
 							   .attempt_cancel = upstream_cancel,
 							   .endpoint_poll = poll_start,
-							   .endpoint_look = look_start,
+							   .endpoint_probe = look_start,
 							   .endpoint_order = order_start,
-							   .answer_piece = caller_on_piece,
+							   .answer_chunk = caller_on_piece,
 							   .answer_end = caller_on_end,
 							   .event = admin_on_event};
 	d->store = etcd_store_new(d);
--- a/src/bayhoistd/upstream.c
+++ b/src/bayhoistd/upstream.c
@@ -88,7 +88,7 @@
 
 	u->daemon = d;
 	u->call = *call;
-	u->next_offset = call->piece_offset;
+	u->next_offset = call->answer_chunk_offset;
 	u->lines = evbuffer_new();
 	u->end = event_new(d->base, -1, 0, on_end_, u);
 	g_hash_table_insert(d->upstreams, &u->call.attempt_id, u);
@@ -147,10 +147,10 @@
 	}
 	if (call->member_count > 0)
 		evhttp_add_header(headers, "X-Bayhoist-Attach", text);
-	g_snprintf(text, sizeof text, "%" G_GUINT64_FORMAT, call->piece_offset);
+	g_snprintf(text, sizeof text, "%" G_GUINT64_FORMAT, call->answer_chunk_offset);
 	if (call->kind == BH__CALL_RESUME)
 		evhttp_add_header(headers, "Last-Event-ID", text);
-	else if (call->piece_offset > 0)
+	else if (call->answer_chunk_offset > 0)
 		evhttp_add_header(headers, "X-Bayhoist-Continue", text);
 }
 
@@ -175,7 +175,7 @@
 		return;
 	}
 	evbuffer_add_reference(out, u->body->data, u->body->open_len, release_body_, body_ref(u->body));
-	if (u->call.piece_offset > 0) {
+	if (u->call.answer_chunk_offset > 0) {
 		char *given = caller_get_text(caller);
 		text = json_object_new_string(given);
 		g_free(given);
@@ -209,8 +209,8 @@
 		size_t len = evbuffer_get_length(in);
 		const char *data = (const char *)evbuffer_pullup(in, -1);
 		if (len)
-			bh__node_process_piece(u->daemon->node, u->call.attempt_id, u->service_offset++, data, len,
-								   clock_now_us());
+			bh__node_process_answer_chunk(u->daemon->node, u->call.attempt_id, u->service_offset++, data, len,
+										  clock_now_us());
 	}
 	else if (u->status == 200 && u->call.kind != BH__CALL_SEGMENT) {
 		evbuffer_add_buffer(u->lines, in);
@@ -254,8 +254,9 @@
 	if (u->event_attempt == u->call.attempt_id && u->event_offset == u->next_offset)
 		u->next_offset++;
 	/* an event of another attempt is handed on under its own id, and counted and dropped there */
-	bh__node_process_piece(u->daemon->node, u->event_attempt == u->call.attempt_id ? u->event_attempt : 0,
-						   u->event_offset, line + 6, len - 6, clock_now_us());
+	bh__node_process_answer_chunk(u->daemon->node,
+								  u->event_attempt == u->call.attempt_id ? u->event_attempt : 0,
+								  u->event_offset, line + 6, len - 6, clock_now_us());
 	return !u->retired;
 }
 
--- a/src/libbayhoist/admission.c
+++ b/src/libbayhoist/admission.c
@@ -8,21 +8,22 @@
 
 #define DEFAULT_MAX_TOKENS_ 256 /* assumed for predictions if the caller gives no limit */
 
-static bool refuse_(BH__Admitted *out, BH__Reason reason, uint64_t retry_after_us, const char *format, ...)
-	G_GNUC_PRINTF(4, 5);
-static const BH__Resource *check_request_(BH__Node *n, const BH__Request *r, BH__Admitted *out,
+static bool refuse_(BH__AdmissionResult *out, BH__Reason reason, uint64_t retry_after_us, const char *format,
+					...) G_GNUC_PRINTF(4, 5);
+static const BH__Resource *check_request_(BH__Node *n, const BH__Request *r, BH__AdmissionResult *out,
 										  uint64_t *idempotency_entry);
-static bool start_request_(BH__Node *n, BH__RequestEntry *e, BH__Admitted *out);
+static bool start_request_(BH__Node *n, BH__RequestEntry *e, BH__AdmissionResult *out);
 static void release_key_(BH__Node *n, uint64_t idempotency_entry);
-static const BH__Resource *check_model_(const BH__Node *n, const BH__Request *r, BH__Admitted *out);
-static bool claim_key_(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t *entry);
-static bool forward_to_stamp_node_(BH__Node *n, const BH__Stamp *stamp, BH__Admitted *out);
+static const BH__Resource *check_model_(const BH__Node *n, const BH__Request *r, BH__AdmissionResult *out);
+static bool claim_key_(BH__Node *n, const BH__Request *r, BH__AdmissionResult *out, uint64_t *entry);
+static bool forward_to_stamp_node_(BH__Node *n, const BH__Stamp *stamp, BH__AdmissionResult *out);
 static BH__RequestEntry *new_entry_(BH__Node *n, const BH__Request *r, const BH__Resource *model);
 static void fill_ask_(BH__Node *n, BH__RequestEntry *e, const BH__Request *r, const BH__Model *model);
 static bool take_quota_(BH__Node *n, BH__RequestEntry *e, uint64_t *retry_after_us, bool *wait);
 
 /* Fills in a refusal with verdict NOT_RUN. Returns false, so that callers can return its result. */
-static bool refuse_(BH__Admitted *out, BH__Reason reason, uint64_t retry_after_us, const char *format, ...)
+static bool refuse_(BH__AdmissionResult *out, BH__Reason reason, uint64_t retry_after_us, const char *format,
+					...)
 {
 	va_list args;
 
@@ -45,7 +46,7 @@
 
 /* Admits a caller's request or refuses it; `out` holds the decision. For BH__ADMIT_ACCEPTED, the answer and
  * the outcome are delivered through the ports, possibly before this function returns. */
-void bh__node_request(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t now_us)
+void bh__node_request(BH__Node *n, const BH__Request *r, BH__AdmissionResult *out, uint64_t now_us)
 {
 	const BH__Resource *model;
 	BH__RequestEntry *e;
@@ -77,7 +78,7 @@
 
 /* Checks a request before it is started. Returns its model, or NULL with `out` filled in. Sets
  * `idempotency_entry` if it claims the request's key. */
-static const BH__Resource *check_request_(BH__Node *n, const BH__Request *r, BH__Admitted *out,
+static const BH__Resource *check_request_(BH__Node *n, const BH__Request *r, BH__AdmissionResult *out,
 										  uint64_t *idempotency_entry)
 {
 	const BH__Resource *model = check_model_(n, r, out);
@@ -94,14 +95,14 @@
 
 /* Takes tokens from the account's rate and asks for a grant. Returns false, with `out` filled in, if the
  * request is quarantined or either is refused at once. */
-static bool start_request_(BH__Node *n, BH__RequestEntry *e, BH__Admitted *out)
+static bool start_request_(BH__Node *n, BH__RequestEntry *e, BH__AdmissionResult *out)
 {
 	uint64_t retry_after_us = BH__SECOND_US;
 	uint64_t held_us = bh__crashes_get_held_us(n, &e->fingerprint);
 	bool wait = false;
 
 	if (held_us)
-		return refuse_(out, BH__REASON_CRASHES_ENDPOINTS, held_us, BH__HELD_MESSAGE);
+		return refuse_(out, BH__REASON_CRASHES_ENDPOINTS, held_us, BH__QUARANTINE_REFUSAL_TEXT);
 	if (!take_quota_(n, e, &retry_after_us, &wait))
 		return refuse_(out, BH__REASON_ACCOUNT_LIMIT, retry_after_us,
 					   "the account's token rate is exhausted");
@@ -121,7 +122,7 @@
 }
 
 /* Checks the model, the adapter and the prompt length. Returns the model, or NULL with `out` filled in. */
-static const BH__Resource *check_model_(const BH__Node *n, const BH__Request *r, BH__Admitted *out)
+static const BH__Resource *check_model_(const BH__Node *n, const BH__Request *r, BH__AdmissionResult *out)
 {
 	const BH__Catalog *c = bh__config_get_catalog(n->config);
 	const BH__Resource *model = bh__catalog_find(c, BH__KIND_MODEL, bh__hash_name(r->model));
@@ -153,7 +154,7 @@
 /* Claims the key of a request that is not repeatable, so that this boot of the node may run it. Returns
  * false, with `out` filled in, if the request must not run here: its stamp is missing or names another
  * node or boot, or the key is in use, was used for another request, has an outcome already or is too old. */
-static bool claim_key_(BH__Node *n, const BH__Request *r, BH__Admitted *out, uint64_t *entry)
+static bool claim_key_(BH__Node *n, const BH__Request *r, BH__AdmissionResult *out, uint64_t *entry)
 {
 	BH__Stamp stamp;
 	BH__OnceOutcome known;
@@ -193,7 +194,7 @@
 
 /* Forwards the request to the node boot that its stamp names. If that boot has ended or the node is dead, it
  * is unknown whether the request ran, and the request is refused. Returns false, with `out` filled in. */
-static bool forward_to_stamp_node_(BH__Node *n, const BH__Stamp *stamp, BH__Admitted *out)
+static bool forward_to_stamp_node_(BH__Node *n, const BH__Stamp *stamp, BH__AdmissionResult *out)
 {
 	const BH__MemberInfo *info = bh__members_find(n->members, stamp->node_id);
 
--- a/src/libbayhoist/attempt.c
+++ b/src/libbayhoist/attempt.c
@@ -61,7 +61,7 @@
 		part->grant.member[i].first_token += part->first_token;
 	g_hash_table_insert(n->requests_by_attempt, &part->grant.grant_id, e);
 	bh__node_event(n, BH__EVENT_GRANT, e->request_id, g->grant_id,
-				   bh__node_name_endpoint(n, g->member[0].endpoint_id), "granted", g->member_count);
+				   bh__node_get_endpoint_name(n, g->member[0].endpoint_id), "granted", g->member_count);
 }
 
 /* Returns the part that holds the engine with this index over all parts, and sets `member` to that engine.
@@ -104,8 +104,8 @@
 	e->segment = 0;
 	n->counters.attempts++;
 	if (e->attempts == 1)
-		bh__retry_note_first(&n->retry,
-							 bh__catalog_get_policy(bh__config_get_catalog(n->config))->retry_share);
+		bh__retry_record_first_attempt(
+			&n->retry, bh__catalog_get_policy(bh__config_get_catalog(n->config))->retry_share);
 	if (e->is_service)
 		bh__attempt_call(n, e, BH__CALL_SERVICE);
 	else if (count_members_(e) > 1)
@@ -129,7 +129,7 @@
 							.first_token = member->first_token,
 							.token_count = member->token_count,
 							.priority_level = part->grant.priority_level,
-							.piece_offset = e->pieces,
+							.answer_chunk_offset = e->answer_chunks,
 							.member_count = (uint8_t)index};
 
 	for (unsigned i = 0; i < index; i++) {
@@ -140,7 +140,8 @@
 	e->segment = index;
 	e->state = kind == BH__CALL_SEGMENT ? BH__REQUEST_SEGMENTS : BH__REQUEST_ANSWER;
 	bh__node_event(n, BH__EVENT_ATTEMPT, e->request_id, call.attempt_id,
-				   bh__node_name_endpoint(n, call.endpoint_id), BH__CallKindString[kind], e->pieces);
+				   bh__node_get_endpoint_name(n, call.endpoint_id), BH__CallKindString[kind],
+				   e->answer_chunks);
 	n->ports->attempt_start(n->ports, &call);
 }
 
@@ -177,27 +178,27 @@
 
 /* Processes one answer chunk. `offset` is its index in the answer. Drops chunks of an attempt that is not
  * current and duplicates; resumes the stream if chunks are missing before this one. */
-void bh__node_process_piece(BH__Node *n, uint64_t attempt_id, uint64_t offset, const char *data, size_t len,
-							uint64_t now_us)
+void bh__node_process_answer_chunk(BH__Node *n, uint64_t attempt_id, uint64_t offset, const char *data,
+								   size_t len, uint64_t now_us)
 {
 	BH__RequestEntry *e = g_hash_table_lookup(n->requests_by_attempt, &attempt_id);
 
 	n->now_us = now_us;
 	if (!e || e->state != BH__REQUEST_ANSWER || attempt_id != get_current_attempt_id_(e) ||
-		offset < e->pieces) {
-		n->counters.crossed++;
+		offset < e->answer_chunks) {
+		n->counters.dropped_answer_chunks++;
 		return;
 	}
-	if (offset > e->pieces) { /* chunks are missing: resume to get them again */
+	if (offset > e->answer_chunks) { /* chunks are missing: resume to get them again */
 		n->ports->attempt_cancel(n->ports, attempt_id, BH__NO_ENDPOINT);
 		on_connection_broken_(n, e);
 		bh__node_drain_inbox(n);
 		return;
 	}
-	if (e->pieces == 0)
+	if (e->answer_chunks == 0)
 		on_first_chunk_(n, e, attempt_id);
-	e->pieces++;
-	n->counters.pieces++;
+	e->answer_chunks++;
+	n->counters.answer_chunks++;
 	if (e->answer && e->answer->len + len < REPLAY_ANSWER_MAX_BYTES_) {
 		g_string_append_len(e->answer, data, (gssize)len);
 		if (!e->is_service)
@@ -207,7 +208,7 @@
 		g_string_free(e->answer, TRUE);
 		e->answer = NULL;
 	}
-	n->ports->answer_piece(n->ports, e->request_id, data, len);
+	n->ports->answer_chunk(n->ports, e->request_id, data, len);
 	bh__node_drain_inbox(n);
 }
 
@@ -228,7 +229,8 @@
 	find_member_(e, segment, &member);
 	if (end != BH__ATTEMPT_DONE)
 		bh__node_event(n, BH__EVENT_ATTEMPT, e->request_id, attempt_id,
-					   bh__node_name_endpoint(n, member->endpoint_id), BH__AttemptEndString[end], e->pieces);
+					   bh__node_get_endpoint_name(n, member->endpoint_id), BH__AttemptEndString[end],
+					   e->answer_chunks);
 	switch (end) {
 	case BH__ATTEMPT_DONE:
 		if (answering)
@@ -348,7 +350,7 @@
  * time is left. Otherwise ends the request with `reason`. */
 static void retry_(BH__Node *n, BH__RequestEntry *e, BH__Reason reason)
 {
-	bool allowed = (e->repeatable || !e->may_have_run) && !(e->is_service && e->pieces > 0);
+	bool allowed = (e->repeatable || !e->may_have_run) && !(e->is_service && e->answer_chunks > 0);
 	uint64_t wake_us = n->now_us + bh__attempt_get_pause_us(e->attempts);
 
 	if (allowed && e->attempts < ATTEMPTS_MAX_ && wake_us < e->deadline_us && bh__retry_take(&n->retry)) {
--- a/src/libbayhoist/crash_duty.c
+++ b/src/libbayhoist/crash_duty.c
@@ -38,21 +38,21 @@
 		bh__catalog_find(bh__config_get_catalog(n->config), BH__KIND_ENDPOINT, endpoint_id);
 
 	*born_ms = 0;
-	return r && !bh__node_endpoint_leaves(n, r);
+	return r && !bh__node_endpoint_is_leaving(n, r);
 }
 
 static void on_look_(BH__CrashPort *port, uint64_t endpoint_id)
 {
 	BH__Node *n = of_port_(port);
 
-	n->ports->endpoint_look(n->ports, endpoint_id);
+	n->ports->endpoint_probe(n->ports, endpoint_id);
 }
 
 /* An endpoint that broke off a request was looked at. */
-void bh__node_process_endpoint_look(BH__Node *n, uint64_t endpoint_id, BH__CrashProof proof, uint64_t now_us)
+void bh__node_process_endpoint_probe(BH__Node *n, uint64_t endpoint_id, BH__CrashProof proof, uint64_t now_us)
 {
 	n->now_us = now_us;
-	bh__node_event(n, BH__EVENT_ENDPOINT, 0, 0, bh__node_name_endpoint(n, endpoint_id),
+	bh__node_event(n, BH__EVENT_ENDPOINT, 0, 0, bh__node_get_endpoint_name(n, endpoint_id),
 				   proof == BH__CRASH_PROVEN ? "crashed" : "broke-off", 0);
 	bh__crash_watch_process_proof(n->crashes, endpoint_id, proof, now_us);
 	bh__node_drain_inbox(n);
@@ -79,7 +79,7 @@
 
 	for (GList *it = all; it; it = it->next) {
 		BH__RequestEntry *e = it->data;
-		bool answers = e->state == BH__REQUEST_ANSWER && e->pieces > 0;
+		bool answers = e->state == BH__REQUEST_ANSWER && e->answer_chunks > 0;
 		if (!answers && bh__fingerprint_equal(&e->fingerprint, f))
 			bh__crashes_end_held(n, e);
 	}
@@ -100,7 +100,7 @@
 	if (!held_us)
 		return false;
 	bh__request_finish(n, e, bh__request_get_failure_verdict(e), BH__REASON_CRASHES_ENDPOINTS,
-					   held_us / BH__MS_US, BH__HELD_MESSAGE);
+					   held_us / BH__MS_US, BH__QUARANTINE_REFUSAL_TEXT);
 	return true;
 }
 
--- a/src/libbayhoist/duty.c
+++ b/src/libbayhoist/duty.c
@@ -47,7 +47,7 @@
 }
 
 /* Takes up and gives up pools as membership and configuration say. */
-void bh__duties_follow(BH__Node *n)
+void bh__duties_apply(BH__Node *n)
 {
 	for (unsigned i = 0; i < bh__routes_get_count(n->routes); i++) {
 		BH__Route *route = bh__routes_get(n->routes, i);
@@ -97,7 +97,7 @@
 							   .max_streams = (uint32_t)e->max_streams,
 							   .serves_short = !role || role->as.role.serves_short,
 							   .serves_long = !role || role->as.role.serves_long,
-							   .leaving = bh__node_endpoint_leaves(n, r),
+							   .leaving = bh__node_endpoint_is_leaving(n, r),
 							   .ready = bh__orders_is_ready(n, r)};
 		add_adapters_(n, r, &pe);
 		if (e->pool_id == d->pool_id)
@@ -214,7 +214,7 @@
 void bh__duties_process_orphan(BH__Node *n, uint64_t endpoint_id, uint64_t attempt_id)
 {
 	n->counters.orphans_cancelled++;
-	bh__node_event(n, BH__EVENT_ORPHAN, 0, attempt_id, bh__node_name_endpoint(n, endpoint_id), "cancelled",
-				   0);
+	bh__node_event(n, BH__EVENT_ORPHAN, 0, attempt_id, bh__node_get_endpoint_name(n, endpoint_id),
+				   "cancelled", 0);
 	n->ports->attempt_cancel(n->ports, attempt_id, endpoint_id);
 }
--- a/src/libbayhoist/include/private/node_internal.h
+++ b/src/libbayhoist/include/private/node_internal.h
@@ -13,7 +13,7 @@
 #include "routes.h"
 
 #define BH__TRIED_POOLS_MAX 3 /* pools that one attempt asks before the request is refused */
-#define BH__HELD_MESSAGE                                                                                     \
+#define BH__QUARANTINE_REFUSAL_TEXT                                                                          \
 	"endpoints have crashed each time they ran this request; it is not sent to any for now"
 
 typedef enum {
@@ -56,7 +56,7 @@
 	unsigned granted_count; /* parts granted so far */
 	BH__RequestPart part[BH__PARTS_MAX];
 	unsigned segment;           /* index of the engine that is at work, counted over all parts */
-	uint64_t pieces;            /* answer chunks that the caller has */
+	uint64_t answer_chunks;     /* answer chunks that the caller has */
 	uint64_t quota_tokens;      /* tokens charged to the account */
 	uint32_t attempts;          /* attempts started */
 	uint32_t resumes;           /* resumes of the current attempt */
@@ -119,8 +119,8 @@
 uint64_t bh__node_new_id(BH__Node *n);
 void bh__node_event(BH__Node *n, BH__EventType type, uint64_t request_id, uint64_t attempt_id,
 					const char *subject, const char *what, uint64_t value);
-const char *bh__node_name_endpoint(const BH__Node *n, uint64_t endpoint_id);
-bool bh__node_endpoint_leaves(const BH__Node *n, const BH__Resource *endpoint);
+const char *bh__node_get_endpoint_name(const BH__Node *n, uint64_t endpoint_id);
+bool bh__node_endpoint_is_leaving(const BH__Node *n, const BH__Resource *endpoint);
 
 /* spread.c */
 void bh__peer_sync_receive_revision(BH__Node *n, uint64_t node_id, uint64_t revision);
@@ -163,7 +163,7 @@
 void bh__crashes_note_served(BH__Node *n, const BH__RequestEntry *e);
 
 /* duty.c */
-void bh__duties_follow(BH__Node *n);
+void bh__duties_apply(BH__Node *n);
 void bh__duties_process_tick(BH__Node *n);
 BH__Duty *bh__duties_find(const BH__Node *n, uint64_t pool_id);
 void bh__duties_free(gpointer duty);
--- a/src/libbayhoist/include/private/retry.h
+++ b/src/libbayhoist/include/private/retry.h
@@ -14,7 +14,7 @@
 } BH__RetryBudget;
 
 void bh__retry_init(BH__RetryBudget *b);
-void bh__retry_note_first(BH__RetryBudget *b, double share);
+void bh__retry_record_first_attempt(BH__RetryBudget *b, double share);
 bool bh__retry_take(BH__RetryBudget *b);
 
 #endif
--- a/src/libbayhoist/node.c
+++ b/src/libbayhoist/node.c
@@ -112,7 +112,7 @@
 }
 
 /* Returns the configured name of an endpoint, or "" if the configuration does not hold it. */
-const char *bh__node_name_endpoint(const BH__Node *n, uint64_t endpoint_id)
+const char *bh__node_get_endpoint_name(const BH__Node *n, uint64_t endpoint_id)
 {
 	const BH__Resource *r =
 		bh__catalog_find(bh__config_get_catalog(n->config), BH__KIND_ENDPOINT, endpoint_id);
@@ -121,7 +121,7 @@
 
 /* Returns true if an endpoint must get no new work because the configuration or the VM list marks it as
  * leaving. */
-bool bh__node_endpoint_leaves(const BH__Node *n, const BH__Resource *endpoint)
+bool bh__node_endpoint_is_leaving(const BH__Node *n, const BH__Resource *endpoint)
 {
 	return bh__catalog_is_leaving(bh__config_get_catalog(n->config), &endpoint->as.endpoint) ||
 		   g_hash_table_contains(n->leaving_vms, &endpoint->id);
@@ -136,7 +136,7 @@
 
 	load_keys_(n);
 	bh__routes_load(n->routes, bh__config_get_catalog(n->config));
-	bh__duties_follow(n);
+	bh__duties_apply(n);
 	bh__node_event(n, BH__EVENT_CONFIG, 0, 0, NULL, "installed", revision);
 	bh__members_set_self(n->members, n->leaving, revision, n->counters.live);
 	count = bh__members_sample(n->members, peer, REVISION_FANOUT_);
@@ -383,7 +383,7 @@
 	}
 	if (n->members_version != bh__members_get_version(n->members)) {
 		n->members_version = bh__members_get_version(n->members);
-		bh__duties_follow(n);
+		bh__duties_apply(n);
 		bh__requests_process_scheduler_change(n);
 	}
 	bh__duties_process_tick(n);
@@ -428,7 +428,7 @@
 			bh__node_leave(n, now_us);
 	}
 	forget_replaced_nodes_(n, vms, count);
-	bh__duties_follow(n);
+	bh__duties_apply(n);
 }
 
 /* Forgets dead nodes that are not in the VM list, as their VMs were replaced. A list without any node's
@@ -484,7 +484,7 @@
 	bh__members_set_self(n->members, true, bh__config_get_revision(n->config), n->counters.live);
 	/* the next schedulers must take the pools over without waiting for a ping */
 	bh__members_announce(n->members);
-	bh__duties_follow(n);
+	bh__duties_apply(n);
 	bh__requests_process_scheduler_change(n);
 	bh__node_drain_inbox(n);
 }
--- a/src/libbayhoist/request.c
+++ b/src/libbayhoist/request.c
@@ -265,7 +265,7 @@
 	}
 	n->counters.finished[outcome.verdict]++;
 	if (outcome.verdict == BH__VERDICT_RAN)
-		bh__histogram_add(&n->counters.whole, n->now_us - e->arrived_us);
+		bh__histogram_add(&n->counters.total_us, n->now_us - e->arrived_us);
 	n->counters.live--;
 	bh__node_event(n, BH__EVENT_FINISH, id, 0, BH__ReasonString[reason], BH__VerdictString[outcome.verdict],
 				   (n->now_us - e->arrived_us) / BH__MS_US);
--- a/src/libbayhoist/retry.c
+++ b/src/libbayhoist/retry.c
@@ -16,7 +16,7 @@
 }
 
 /* Records a first attempt, which adds `share` of a retry to the budget. */
-void bh__retry_note_first(BH__RetryBudget *b, double share)
+void bh__retry_record_first_attempt(BH__RetryBudget *b, double share)
 {
 	b->first_attempts++;
 	b->level = MIN(b->level + share, MAX_LEVEL_);
--- a/src/test_libbayhoist/test_limits.c
+++ b/src/test_libbayhoist/test_limits.c
@@ -180,7 +180,7 @@
 	bh__retry_init(&b);
 	for (int i = 0; i < 10000; i++) { /* half of the engines are out: half of all attempts fail */
 		int tries = 1;
-		bh__retry_note_first(&b, 0.1);
+		bh__retry_record_first_attempt(&b, 0.1);
 		sent++;
 		while (tries < 8 && (i + tries) % 2 && bh__retry_take(&b)) {
 			sent++;
--- a/src/test_libbayhoist/world.c
+++ b/src/test_libbayhoist/world.c
@@ -195,8 +195,8 @@
 	BH__Node *node = target_(w, e);
 
 	if (node && !put_off_(w, e))
-		bh__node_process_endpoint_look(node, e->engine->id,
-									   e->engine->dead ? BH__CRASH_PROVEN : BH__CRASH_DENIED, w->now_us);
+		bh__node_process_endpoint_probe(node, e->engine->id,
+										e->engine->dead ? BH__CRASH_PROVEN : BH__CRASH_DENIED, w->now_us);
 }
 
 static void on_look_(BH__NodePorts *ports, uint64_t endpoint_id)
@@ -227,7 +227,7 @@
 		}
 		a->listening = true;
 		a->call = e->call;
-		a->sent = e->call.piece_offset;
+		a->sent = e->call.answer_chunk_offset;
 		return;
 	}
 	if (en->refuse || world_get_held(en) + kv > en->kv_bytes) {
@@ -245,7 +245,7 @@
 	a->kv_bytes = kv;
 	a->ready_us = w->now_us + (uint64_t)((double)tokens / ENGINE_TOKENS_PER_US);
 	a->next_us = a->ready_us;
-	a->sent = e->call.piece_offset;
+	a->sent = e->call.answer_chunk_offset;
 	a->listening = true;
 	a->is_segment = e->call.kind == BH__CALL_SEGMENT;
 	if (!a->is_segment) {
@@ -317,7 +317,7 @@
 	if (!node || put_off_(w, e))
 		return;
 	g_snprintf(text, sizeof text, "%s.%u", tag_of_(w, e->call.request_id), (unsigned)e->number);
-	bh__node_process_piece(node, e->call.attempt_id, e->number, text, strlen(text), w->now_us);
+	bh__node_process_answer_chunk(node, e->call.attempt_id, e->number, text, strlen(text), w->now_us);
 }
 
 static void send_piece_(World *w, const Attempt *a, uint64_t attempt_id, uint64_t offset)
@@ -670,9 +670,9 @@
 								   .attempt_start = on_attempt_start_,
 								   .attempt_cancel = on_attempt_cancel_,
 								   .endpoint_poll = on_poll_,
-								   .endpoint_look = on_look_,
+								   .endpoint_probe = on_look_,
 								   .endpoint_order = on_order_,
-								   .answer_piece = on_piece_,
+								   .answer_chunk = on_piece_,
 								   .answer_end = on_end_,
 								   .event = on_event_};
 		n->store_port.call = on_store_call_;
@@ -872,7 +872,7 @@
 					 .body_hash = bh__hash_name(tag),
 					 .fingerprint = {.high = bh__hash_name(tag), .low = bh__hash_name(account)},
 					 .deadline_us = deadline_ms * BH__MS_US};
-	BH__Admitted admitted;
+	BH__AdmissionResult admitted;
 
 	g_strlcpy(r->name, name, sizeof r->name);
 	g_strlcpy(r->prompt_tag, tag, sizeof r->prompt_tag);
