--- a/include/bayhoist/members.h
+++ b/include/bayhoist/members.h
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Membership: which nodes are there, found by random probes and spread on the probes themselves (SWIM: Das,
- * Gupta, Motivala, DSN 2002). Soft state: nothing that must happen at most once rests on it. */
+/* Cluster membership: probes detect failed nodes, and the probes themselves carry updates (SWIM: Das, Gupta,
+ * Motivala, DSN 2002). The table is soft state, and nothing that must happen at most once relies on it. */
 #ifndef BAYHOIST_MEMBERS_H
 #define BAYHOIST_MEMBERS_H
 
@@ -8,7 +8,8 @@
 
 typedef struct BH__Members BH__Members;
 
-/* Carries messages to nodes, by their peer address. */
+/* Callbacks of the member table: `send` delivers a message to a peer address, `changed` reports a new state.
+ */
 typedef struct BH__MembersPort {
 	void (*send)(struct BH__MembersPort *port, const char *peer_address, BH__Message *m);
 	void (*changed)(struct BH__MembersPort *port, const BH__MemberInfo *now, BH__MemberState old_state);
--- a/include/bayhoist/silence.h
+++ b/include/bayhoist/silence.h
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Whether a node that leaves questions unanswered is to be suspected. The probes of membership take seconds
- * to notice a node that stands still; its unanswered questions tell sooner. */
+/* Detects an unresponsive node from requests that time out. The membership probes take seconds to detect a
+ * node that has stalled; timed-out requests show it sooner. */
 #ifndef BAYHOIST_SILENCE_H
 #define BAYHOIST_SILENCE_H
 
@@ -8,14 +8,16 @@
 #include <stdint.h>
 #include "bayhoist/types.h"
 
-/* So many questions must stay unanswered, and so long must have passed since the first was given up: many may
- * go out in one millisecond, and a connection to a node that has just started takes a few round trips. */
+/* A node is suspected after this many consecutive requests without a response, but no sooner than this long
+ * after the first of them was abandoned: many requests may be sent within one millisecond, and a connection
+ * to a node that has just started takes a few round trips. */
 #define BH__SILENCE_QUESTIONS 3
 #define BH__SILENCE_US (200 * BH__MS_US)
 
+/* The recent unanswered requests to one node. */
 typedef struct {
-	unsigned unanswered;     /* questions since the node was last heard */
-	uint64_t quiet_since_us; /* when the first of them was given up */
+	unsigned unanswered;     /* requests abandoned since the last message from the node */
+	uint64_t quiet_since_us; /* when the first of them was abandoned; 0: none */
 } BH__Silence;
 
 void bh__silence_hear(BH__Silence *s);
--- a/src/libbayhoist/members_pick.c
+++ b/src/libbayhoist/members_pick.c
@@ -1,29 +1,30 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Which node does a duty, by what is known of all: rendezvous hashing among those that are usable. */
+/* Assignment of duties to nodes by rendezvous hashing among the usable members of the local table. */
 #include "bayhoist/members.h"
 
 #include <string.h>
 #include "bayhoist/hash.h"
 
-#define CAPACITY_RATIO_ 2 /* VMs with less than this part of what the largest has are left without duties */
+#define CAPACITY_RATIO_ 2 /* VMs with less than 1/CAPACITY_RATIO_ of the largest capacity get no duties */
 
 static bool is_candidate_(const BH__MemberInfo *info, const char *hall);
 static bool is_among_(uint64_t node_id, const uint64_t *list, unsigned count);
 
-/* Returns true if the node may take on duties and callers. */
+/* Returns whether the node may take duties and callers: it is alive and not leaving. */
 bool bh__member_is_usable(const BH__MemberInfo *info)
 {
 	return info->state == BH__MEMBER_ALIVE && !info->leaving;
 }
 
+/* Returns whether the node is usable and in `hall`; NULL: in any hall. */
 static bool is_candidate_(const BH__MemberInfo *info, const char *hall)
 {
 	return bh__member_is_usable(info) && (!hall || !strcmp(info->hall, hall));
 }
 
-/* Returns the node that a duty falls to: the highest rendezvous weight for `key` among the usable nodes of
- * `hall`, or of any hall if it has none. Nodes on much smaller VMs than others have come into question only
- * when those are gone. Returns 0 if no node is usable. */
+/* Returns the node that owns a duty: the one with the highest rendezvous weight for `key` among the usable
+ * nodes of `hall`, or of any hall if `hall` is NULL or has none. Nodes on VMs with less than half of the
+ * largest capacity are eligible only when the larger ones are gone. Returns 0 if no node is usable. */
 uint64_t bh__members_pick(const BH__Members *m, uint64_t key, const char *hall)
 {
 	uint64_t best = bh__members_pick_except(m, key, hall, NULL, 0);
@@ -31,6 +32,7 @@
 	return best || !hall ? best : bh__members_pick_except(m, key, NULL, NULL, 0);
 }
 
+/* Returns whether a list of node ids holds `node_id`. */
 static bool is_among_(uint64_t node_id, const uint64_t *list, unsigned count)
 {
 	for (unsigned i = 0; i < count; i++)
@@ -39,7 +41,8 @@
 	return false;
 }
 
-/* The same without the nodes in `except`, and in no other hall than `hall`; NULL: in any. */
+/* Returns the node that owns a duty as bh__members_pick() does, but without the nodes in `except` and without
+ * falling back to another hall. Returns 0 if no node is usable. */
 uint64_t bh__members_pick_except(const BH__Members *m, uint64_t key, const char *hall, const uint64_t *except,
 								 unsigned except_count)
 {
@@ -64,15 +67,16 @@
 	return best;
 }
 
-/* Returns how many usable nodes of `hall` come before this one for `key`: 0 is first. */
+/* Returns the rank of this node by rendezvous weight for `key`: the number of usable nodes of `hall` with a
+ * higher weight; NULL: of all halls. */
 unsigned bh__members_get_rank(const BH__Members *m, uint64_t key, const char *hall)
 {
-	uint64_t mine = bh__hash_pair(bh__members_get_self(m)->node_id, key);
+	uint64_t own_weight = bh__hash_pair(bh__members_get_self(m)->node_id, key);
 	unsigned rank = 0;
 
 	for (unsigned i = 1; i < bh__members_get_count(m); i++) {
 		const BH__MemberInfo *info = bh__members_get(m, i);
-		rank += is_candidate_(info, hall) && bh__hash_pair(info->node_id, key) > mine;
+		rank += is_candidate_(info, hall) && bh__hash_pair(info->node_id, key) > own_weight;
 	}
 	return rank;
 }
--- a/src/libbayhoist/silence.c
+++ b/src/libbayhoist/silence.c
@@ -1,16 +1,17 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Suspicion of a node from the questions that it leaves unanswered. */
+/* Detection of an unresponsive node from requests that time out. */
 #include "bayhoist/silence.h"
 
-/* The node was heard from, or another takes its place: the count begins again. */
+/* Resets the count of timed-out requests. Called when a message from the node arrives or another node takes
+ * its place. */
 void bh__silence_hear(BH__Silence *s)
 {
 	s->unanswered = 0;
 	s->quiet_since_us = 0;
 }
 
-/* A question to the node was given up. Returns whether the node is to be suspected now; the count then begins
- * again. */
+/* Records that a request to the node was abandoned without a response. Returns whether the node is to be
+ * suspected now; if so, also resets the count. */
 bool bh__silence_note_unanswered(BH__Silence *s, uint64_t now_us)
 {
 	if (s->unanswered++ == 0)
