--- a/src/test_libbayhoist/member_fleet.c
+++ b/src/test_libbayhoist/member_fleet.c
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Nodes that know each other, on virtual time. */
+/* A fleet of nodes on virtual time. */
 #include "member_fleet.h"
 
 #include <stdio.h>
@@ -8,29 +8,31 @@
 
 #define TICK_MS 100
 
+/* A message in transit. */
 typedef struct {
-	unsigned to;
-	char *data;
-	size_t len;
-} Letter;
+	unsigned to; /* index of the receiving node */
+	char *data;  /* encoded message, owned */
+	size_t len;  /* of `data`, in bytes */
+} PendingMessage;
 
+/* Queues a message and counts it. */
 static void send_(BH__MembersPort *port, const char *address, BH__Message *m)
 {
 	MemberNode *n = (MemberNode *)port;
-	Letter *l = g_new0(Letter, 1);
+	PendingMessage *p = g_new0(PendingMessage, 1);
 
-	l->to = GPOINTER_TO_UINT(g_hash_table_lookup(n->fleet->by_address, address)) - 1;
-	l->data = bh__message_encode(m, &l->len);
+	p->to = GPOINTER_TO_UINT(g_hash_table_lookup(n->fleet->by_address, address)) - 1;
+	p->data = bh__message_encode(m, &p->len);
 	n->sent++;
-	g_hash_table_add(n->peers, GUINT_TO_POINTER(l->to + 1));
-	n->fleet->bytes += l->len;
-	n->fleet->type_bytes[m->type] += l->len;
-	n->bytes += l->len;
+	g_hash_table_add(n->peers, GUINT_TO_POINTER(p->to + 1));
+	n->fleet->bytes += p->len;
+	n->fleet->type_bytes[m->type] += p->len;
+	n->bytes += p->len;
 	if (m->type == BH__MESSAGE_MEMBERS) {
 		n->fleet->records += m->as.members.count;
 		n->fleet->tables++;
 	}
-	g_queue_push_tail(&n->fleet->letters, l);
+	g_queue_push_tail(&n->fleet->pending, p);
 }
 
 static void changed_(BH__MembersPort *port, const BH__MemberInfo *now, BH__MemberState old)
@@ -40,6 +42,7 @@
 	(void)old;
 }
 
+/* Returns the initial record of the node with index `i`. */
 BH__MemberInfo member_fleet_describe(unsigned i)
 {
 	BH__MemberInfo info = {.boot_id = 5};
@@ -52,7 +55,7 @@
 	return info;
 }
 
-/* All nodes know all. */
+/* Returns a fleet in which all nodes know all others. */
 MemberFleet *member_fleet_new(unsigned count)
 {
 	MemberFleet *f = g_new0(MemberFleet, 1);
@@ -91,25 +94,25 @@
 	g_free(f);
 }
 
-/* Delivers messages until none is on its way. */
+/* Delivers messages until none is in transit. */
 void member_fleet_settle(MemberFleet *f)
 {
-	Letter *l;
+	PendingMessage *p;
 
-	while ((l = g_queue_pop_head(&f->letters))) {
-		MemberNode *n = &f->node[l->to];
+	while ((p = g_queue_pop_head(&f->pending))) {
+		MemberNode *n = &f->node[p->to];
 		BH__Message m;
-		if (!n->silent && bh__message_decode(&m, l->data, l->len, NULL)) {
+		if (!n->silent && bh__message_decode(&m, p->data, p->len, NULL)) {
 			if (!bh__members_process_message(n->members, &m, f->now_us) && f->on_message)
 				f->on_message(n, &m);
 			bh__message_finish(&m);
 		}
-		free(l->data);
-		g_free(l);
+		free(p->data);
+		g_free(p);
 	}
 }
 
-/* Lets nodes probe each other for a while. */
+/* Advances virtual time by `ms`, with a tick of all responsive nodes every 100 ms. */
 void member_fleet_run(MemberFleet *f, unsigned ms)
 {
 	for (unsigned done = 0; done < ms; done += TICK_MS) {
@@ -121,7 +124,8 @@
 	}
 }
 
-/* Sends a message to a node, or to the sender itself. */
+/* Sends a message to a node, which may be the sender itself. Does nothing if the sender does not know the
+ * node. */
 void member_fleet_send(MemberNode *n, uint64_t node_id, BH__Message *m)
 {
 	const BH__MemberInfo *self = bh__members_get_self(n->members);
@@ -133,7 +137,7 @@
 		send_(&n->port, info->peer_address, m);
 }
 
-/* Counts anew. */
+/* Resets the counts of messages and bytes sent; those of tables, records and types stay. */
 void member_fleet_reset_counts(MemberFleet *f)
 {
 	f->bytes = 0;
@@ -143,6 +147,7 @@
 	}
 }
 
+/* Returns the largest number of messages that a single node has sent. */
 unsigned member_fleet_get_busiest(const MemberFleet *f)
 {
 	unsigned most = 0;
@@ -152,6 +157,7 @@
 	return most;
 }
 
+/* Returns the number of messages that all nodes have sent. */
 unsigned member_fleet_get_total(const MemberFleet *f)
 {
 	unsigned total = 0;
@@ -161,6 +167,7 @@
 	return total;
 }
 
+/* Returns the largest number of bytes that a single node has sent. */
 uint64_t member_fleet_get_busiest_bytes(const MemberFleet *f)
 {
 	uint64_t most = 0;
--- a/src/test_libbayhoist/member_fleet.h
+++ b/src/test_libbayhoist/member_fleet.h
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Nodes that know each other and send each other messages, encoded, on virtual time; what each sends is
- * counted. Membership takes its own messages; others go to whoever the test sets. */
+/* A fleet of nodes on virtual time that exchange encoded messages. It counts what each node sends. Membership
+ * processes its own messages; the others go to a callback of the test. */
 #ifndef TEST_MEMBER_FLEET_H
 #define TEST_MEMBER_FLEET_H
 
@@ -9,28 +9,29 @@
 typedef struct MemberFleet MemberFleet;
 
 typedef struct {
-	BH__MembersPort port; /* first */
+	BH__MembersPort port; /* must be first: membership passes it to the callbacks */
 	MemberFleet *fleet;
 	BH__Members *members;
-	void *user; /* the test's own */
+	void *user; /* owned by the test; NULL: none */
 	uint64_t id;
 	char address[BH__ADDRESS_LEN];
-	bool silent;
-	unsigned sent;
-	uint64_t bytes;
-	GHashTable *peers; /* indexes + 1 of the nodes that it has sent anything */
+	bool silent;       /* it neither ticks nor receives messages */
+	unsigned sent;     /* messages since the counts were reset */
+	uint64_t bytes;    /* sent since the counts were reset */
+	GHashTable *peers; /* set of index + 1 of the nodes that it has sent to */
 } MemberNode;
 
 struct MemberFleet {
 	MemberNode *node;
 	unsigned count;
-	void (*on_message)(MemberNode *n, const BH__Message *m); /* that membership does not take; NULL: none */
-	GHashTable *by_address;                                  /* index + 1 */
-	GQueue letters;
-	uint64_t bytes;
-	unsigned records; /* of members, in tables that nodes sent each other */
-	unsigned tables;
-	uint64_t type_bytes[BH__MESSAGE_TYPE_COUNT];
+	/* called for messages that do not belong to membership; NULL: they are dropped */
+	void (*on_message)(MemberNode *n, const BH__Message *m);
+	GHashTable *by_address;                      /* peer address -> index of the node + 1 */
+	GQueue pending;                              /* PendingMessage *: not delivered yet */
+	uint64_t bytes;                              /* sent by all nodes since the counts were reset */
+	unsigned records;                            /* member records in all tables sent */
+	unsigned tables;                             /* messages with member tables sent */
+	uint64_t type_bytes[BH__MESSAGE_TYPE_COUNT]; /* sent, by type of message */
 	uint64_t now_us;
 };
 
--- a/src/test_libbayhoist/quiet_members.c
+++ b/src/test_libbayhoist/quiet_members.c
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* A port that drops what members say. */
+/* A members port that drops all messages. */
 #include "quiet_members.h"
 
 static void send_(BH__MembersPort *port, const char *address, BH__Message *m)
@@ -18,7 +18,7 @@
 
 BH__MembersPort QuietMembersPort = {.send = send_, .changed = changed_};
 
-/* Another node greets the table's own. */
+/* Adds a member to the table, as if a join from it had been received. */
 void quiet_members_add(BH__Members *m, const BH__MemberInfo *info, uint64_t now_us)
 {
 	BH__Message join = {.type = BH__MESSAGE_JOIN};
--- a/src/test_libbayhoist/quiet_members.h
+++ b/src/test_libbayhoist/quiet_members.h
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Tables of members for tests of what follows from them: messages go nowhere. */
+/* A members port that drops all messages, for tests of code that depends on a member table. */
 #ifndef TEST_QUIET_MEMBERS_H
 #define TEST_QUIET_MEMBERS_H
 
--- a/src/test_libbayhoist/test_members.c
+++ b/src/test_libbayhoist/test_members.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Membership of many nodes: what they believe of each other after all have started at once, and after one has
- * wrongly suspected another. Messages take 2 ms. */
+/* Membership of many nodes: their local views after all have started at once, after a false suspicion, and
+ * after a node has failed. Messages take 2 ms. */
 #include <glib.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -15,33 +15,34 @@
 #define NODES 80
 #define SEEDS 3
 #define STEP_US (2 * BH__MS_US)
-#define TICK_STEPS 50 /* 100 ms, as the programs do */
-#define KEY 4711      /* of a duty */
-#define LEFT_MS 3600  /* by when a silent node is left; users bear 4 s on such a site */
+#define TICK_STEPS 50 /* steps between the ticks of a node: 100 ms, as in the programs */
+#define DUTY_KEY 4711 /* hash key of the duty */
+/* Time by which no node uses a failed node any more. Users tolerate 4 s on a site of this size. */
+#define DETECTION_MAX_MS 3600
 
 typedef struct Group Group;
 
 typedef struct {
-	BH__MembersPort port; /* first: membership hands it back */
+	BH__MembersPort port; /* must be first: membership passes it to the callbacks */
 	Group *group;
 	BH__Members *members;
 	char address[32];
 } Node;
 
-/* A message on its way. */
+/* A message in transit. */
 typedef struct {
-	unsigned to;
+	unsigned to; /* index of the receiving node */
 	BH__Message message;
-} Letter;
+} PendingMessage;
 
 struct Group {
 	Node node[NODES];
-	GHashTable *by_address; /* index + 1 of a node */
-	GQueue out;             /* Letter: sent in this step */
+	GHashTable *by_address; /* peer address -> index of the node + 1 */
+	GQueue pending;         /* PendingMessage *: sent in this step */
 	uint64_t now_us;
-	unsigned deaths;  /* nodes taken for dead, over all nodes */
-	unsigned records; /* of members, sent in tables */
-	int lost;         /* node without power; -1: none */
+	unsigned deaths;  /* transitions to dead, summed over all nodes */
+	unsigned records; /* member records sent in tables */
+	int failed_node;  /* index of the node that has lost power; -1: none */
 };
 
 static void send_(BH__MembersPort *port, const char *address, BH__Message *m);
@@ -53,7 +54,7 @@
 	memset(g, 0, sizeof *g);
 	g->by_address = g_hash_table_new(g_str_hash, g_str_equal);
 	g->now_us = 1000 * BH__SECOND_US;
-	g->lost = -1;
+	g->failed_node = -1;
 	for (unsigned i = 0; i < NODES; i++) {
 		Node *n = &g->node[i];
 		BH__MemberInfo self = {.boot_id = 1000 + i};
@@ -74,10 +75,10 @@
 
 static void group_finish_(Group *g)
 {
-	while (!g_queue_is_empty(&g->out)) {
-		Letter *l = g_queue_pop_head(&g->out);
-		bh__message_finish(&l->message);
-		g_free(l);
+	while (!g_queue_is_empty(&g->pending)) {
+		PendingMessage *p = g_queue_pop_head(&g->pending);
+		bh__message_finish(&p->message);
+		g_free(p);
 	}
 	for (unsigned i = 0; i < NODES; i++)
 		bh__members_delete(g->node[i].members);
@@ -87,16 +88,16 @@
 static void send_(BH__MembersPort *port, const char *address, BH__Message *m)
 {
 	Group *g = ((Node *)port)->group;
-	Letter *l = g_new0(Letter, 1);
+	PendingMessage *p = g_new0(PendingMessage, 1);
 
-	l->to = GPOINTER_TO_UINT(g_hash_table_lookup(g->by_address, address)) - 1;
-	l->message = *m;
+	p->to = GPOINTER_TO_UINT(g_hash_table_lookup(g->by_address, address)) - 1;
+	p->message = *m;
 	if (m->type == BH__MESSAGE_MEMBERS) {
 		g->records += m->as.members.count;
-		l->message.as.members.member =
+		p->message.as.members.member =
 			g_memdup2(m->as.members.member, m->as.members.count * sizeof(BH__MemberInfo));
 	}
-	g_queue_push_tail(&g->out, l);
+	g_queue_push_tail(&g->pending, p);
 }
 
 static void changed_(BH__MembersPort *port, const BH__MemberInfo *info, BH__MemberState old)
@@ -104,22 +105,22 @@
 	((Node *)port)->group->deaths += info->state == BH__MEMBER_DEAD && old != BH__MEMBER_DEAD;
 }
 
-/* Delivers what the step before sent, and gives a share of the nodes their tick. */
+/* Delivers the messages of the previous step and runs the tick of the nodes that are due. */
 static void step_(Group *g, unsigned step)
 {
-	GQueue in = g->out;
+	GQueue in = g->pending;
 
-	g_queue_init(&g->out);
+	g_queue_init(&g->pending);
 	g->now_us += STEP_US;
 	while (!g_queue_is_empty(&in)) {
-		Letter *l = g_queue_pop_head(&in);
-		if ((int)l->to != g->lost)
-			bh__members_process_message(g->node[l->to].members, &l->message, g->now_us);
-		bh__message_finish(&l->message);
-		g_free(l);
+		PendingMessage *p = g_queue_pop_head(&in);
+		if ((int)p->to != g->failed_node)
+			bh__members_process_message(g->node[p->to].members, &p->message, g->now_us);
+		bh__message_finish(&p->message);
+		g_free(p);
 	}
 	for (unsigned i = step % TICK_STEPS; i < NODES; i += TICK_STEPS)
-		if ((int)i != g->lost)
+		if ((int)i != g->failed_node)
 			bh__members_process_tick(g->node[i].members, g->now_us);
 }
 
@@ -129,24 +130,24 @@
 		step_(g, step);
 }
 
-/* Returns how many nodes would give the duty to the same node as most do. */
-static unsigned count_agreed_(const Group *g)
+/* Returns how many nodes pick the most frequently picked owner of the duty. */
+static unsigned count_agreeing_(const Group *g)
 {
 	unsigned most = 0;
 
 	for (unsigned i = 0; i < NODES; i++) {
-		uint64_t mine = bh__members_pick(g->node[i].members, KEY, NULL);
+		uint64_t mine = bh__members_pick(g->node[i].members, DUTY_KEY, NULL);
 		unsigned count = 0;
 		for (unsigned k = 0; k < NODES; k++)
-			count += bh__members_pick(g->node[k].members, KEY, NULL) == mine;
+			count += bh__members_pick(g->node[k].members, DUTY_KEY, NULL) == mine;
 		most = MAX(most, count);
 	}
 	return most;
 }
 
-/* After all nodes have started at once, all know all within two seconds: on the grown site of the users two
- * schedulers filled the same engines for twenty. */
-static void all_start_at_once_(void **state)
+/* When all nodes start at once, each knows all others within two seconds. On an enlarged site of the users it
+ * took twenty, during which two schedulers assigned work to the same engines. */
+static void simultaneous_start_converges_(void **state)
 {
 	Group g;
 
@@ -155,14 +156,14 @@
 	run_(&g, 2000);
 	for (unsigned i = 0; i < NODES; i++)
 		assert_int_equal(bh__members_get_count(g.node[i].members), NODES);
-	assert_int_equal(count_agreed_(&g), NODES);
+	assert_int_equal(count_agreeing_(&g), NODES);
 	assert_int_equal(g.deaths, 0);
 	group_finish_(&g);
 }
 
-/* A start costs few tables: nodes that know the same send none. (Whole tables four times a second, both ways,
- * were 2,245 records a node here, and half of all bytes between halls with 295 nodes.) */
-static void a_start_costs_few_tables_(void **state)
+/* Nodes with equal tables send no records while they start. Sending whole tables four times a second in both
+ * directions took 2,245 records per node here, and half of all bytes between halls with 295 nodes. */
+static void startup_sends_few_records_(void **state)
 {
 	Group g;
 
@@ -173,8 +174,8 @@
 	group_finish_(&g);
 }
 
-/* Returns which node of a settled group has the duty. */
-static unsigned find_duty_(void)
+/* Returns the index of the node that owns the duty in a converged group. */
+static unsigned find_duty_owner_(void)
 {
 	Group g;
 	uint64_t duty;
@@ -182,15 +183,15 @@
 
 	group_init_(&g);
 	run_(&g, 2000);
-	duty = bh__members_pick(g.node[0].members, KEY, NULL);
+	duty = bh__members_pick(g.node[0].members, DUTY_KEY, NULL);
 	while (bh__members_get_self(g.node[index].members)->node_id != duty)
 		index++;
 	group_finish_(&g);
 	return index;
 }
 
-/* All nodes start and read who had the duty last. */
-static void presume_(Group *g, unsigned duty)
+/* Gives all starting nodes the record of the last owner of the duty. */
+static void add_unconfirmed_(Group *g, unsigned duty)
 {
 	BH__MemberInfo info = *bh__members_get_self(g->node[duty].members);
 
@@ -198,29 +199,30 @@
 		bh__members_presume(g->node[i].members, &info, g->now_us);
 }
 
-/* Where all nodes start at once and a record names the one that had a duty, all agree on it before they have
- * met each other, and it knows them all. */
-static void nodes_that_start_agree_by_the_record_(void **state)
+/* When all nodes start at once and a record names the last owner of a duty, all agree on that owner before
+ * they have exchanged messages, and the owner then knows all nodes. */
+static void starting_nodes_agree_on_recorded_owner_(void **state)
 {
-	unsigned duty = find_duty_();
+	unsigned duty = find_duty_owner_();
 	Group g;
 
 	(void)state;
 	group_init_(&g);
-	presume_(&g, duty);
-	assert_int_equal(count_agreed_(&g), NODES);
+	add_unconfirmed_(&g, duty);
+	assert_int_equal(count_agreeing_(&g), NODES);
 	run_(&g, 10);
-	assert_int_equal(count_agreed_(&g), NODES);
+	assert_int_equal(count_agreeing_(&g), NODES);
 	assert_int_equal(bh__members_get_count(g.node[duty].members), NODES);
 	run_(&g, 2000);
-	assert_int_equal(count_agreed_(&g), NODES);
+	assert_int_equal(count_agreeing_(&g), NODES);
 	group_finish_(&g);
 }
 
-/* The node that the record names may be starting too: it is waited for, but not for long. */
-static void a_recorded_node_that_is_gone_is_left_(void **state)
+/* The recorded owner may itself be starting: it is not suspected at first, but after 300 ms without a
+ * message. */
+static void unresponsive_recorded_owner_is_abandoned_(void **state)
 {
-	unsigned duty = find_duty_();
+	unsigned duty = find_duty_owner_();
 	unsigned other = duty ? 0 : 1;
 	BH__Members *m;
 	uint64_t id;
@@ -228,20 +230,21 @@
 
 	(void)state;
 	group_init_(&g);
-	g.lost = (int)duty;
-	presume_(&g, duty);
+	g.failed_node = (int)duty;
+	add_unconfirmed_(&g, duty);
 	m = g.node[other].members;
 	id = bh__members_get_self(g.node[duty].members)->node_id;
 	bh__members_process_unreachable(m, id, g.now_us + 200 * BH__MS_US);
-	assert_int_equal(bh__members_pick(m, KEY, NULL), id);
+	assert_int_equal(bh__members_pick(m, DUTY_KEY, NULL), id);
 	assert_true(bh__members_await(m, id, g.now_us + 200 * BH__MS_US));
 	assert_false(bh__members_await(m, id, g.now_us + 301 * BH__MS_US));
 	bh__members_process_unreachable(m, id, g.now_us + 301 * BH__MS_US);
-	assert_int_not_equal(bh__members_pick(m, KEY, NULL), id);
+	assert_int_not_equal(bh__members_pick(m, DUTY_KEY, NULL), id);
 	group_finish_(&g);
 }
 
-/* A node that is suspected though it lives hears of it at once, and is taken for dead by nobody. */
+/* A live node that is suspected receives the suspicion at once and refutes it, and no node declares it dead.
+ */
 static void false_suspicions_are_refuted_(void **state)
 {
 	Group g;
@@ -250,19 +253,19 @@
 	(void)state;
 	group_init_(&g);
 	run_(&g, 2000);
-	duty = bh__members_pick(g.node[0].members, KEY, NULL);
+	duty = bh__members_pick(g.node[0].members, DUTY_KEY, NULL);
 	for (unsigned i = 0; i < NODES; i += 7)
 		bh__members_process_unreachable(g.node[i].members, duty, g.now_us);
 	run_(&g, 200);
-	assert_int_equal(count_agreed_(&g), NODES);
+	assert_int_equal(count_agreeing_(&g), NODES);
 	run_(&g, 4000);
-	assert_int_equal(count_agreed_(&g), NODES);
+	assert_int_equal(count_agreeing_(&g), NODES);
 	assert_int_equal(g.deaths, 0);
 	group_finish_(&g);
 }
 
-/* At rest a node sends few messages: none of the quick exchange of tables of a start. */
-static void rest_is_quiet_(void **state)
+/* An idle node sends few messages: the frequent comparison of tables ends with startup. */
+static void idle_message_rate_is_low_(void **state)
 {
 	Group g;
 	unsigned sent = 0;
@@ -272,42 +275,44 @@
 	run_(&g, 15000);
 	for (unsigned step = 0; step < 1000; step++) {
 		step_(&g, step);
-		sent += g_queue_get_length(&g.out);
+		sent += g_queue_get_length(&g.pending);
 	}
 	assert_true(sent <= NODES * 2 * 4 + NODES);
 	group_finish_(&g);
 }
 
-/* Returns how many nodes would send callers to the node that lost its power. */
-static unsigned count_misled_(const Group *g)
+/* Returns how many nodes still consider the failed node usable for callers. */
+static unsigned count_using_failed_node_(const Group *g)
 {
-	uint64_t lost_id = bh__members_get_self(g->node[g->lost].members)->node_id;
+	uint64_t failed_id = bh__members_get_self(g->node[g->failed_node].members)->node_id;
 	unsigned count = 0;
 
 	for (unsigned i = 0; i < NODES; i++)
-		count += (int)i != g->lost && bh__member_is_usable(bh__members_find(g->node[i].members, lost_id));
+		count +=
+			(int)i != g->failed_node && bh__member_is_usable(bh__members_find(g->node[i].members, failed_id));
 	return count;
 }
 
-/* A node that loses its power is not given to callers by anyone a few seconds later, whichever node it is. (A
- * seed was, for more than eight: all nodes had it in the same place of their first round of probes.) */
-static void a_silent_node_is_left_by_all_(void **state)
+/* No node directs callers to a node that has lost power a few seconds later, whichever node failed. A failed
+ * seed was used for more than eight seconds, because all nodes had it at the same position of their first
+ * round of probes. */
+static void failed_node_is_detected_(void **state)
 {
 	(void)state;
-	for (int lost = 0; lost < NODES; lost++) {
+	for (int failed_node = 0; failed_node < NODES; failed_node++) {
 		Group g;
 		group_init_(&g);
 		run_(&g, 17000);
-		g.lost = lost;
-		run_(&g, LEFT_MS);
-		assert_int_equal(count_misled_(&g), 0);
+		g.failed_node = failed_node;
+		run_(&g, DETECTION_MAX_MS);
+		assert_int_equal(count_using_failed_node_(&g), 0);
 		group_finish_(&g);
 	}
 }
 
-/* A duty falls to one of the nodes on large VMs while there is one that is usable; on VMs that differ little,
- * to any. */
-static void duties_fall_to_large_vms_(void **state)
+/* Duties go to nodes on large VMs while one of these is usable. Among VMs of similar capacity, any node may
+ * own a duty. */
+static void duties_go_to_large_vms_(void **state)
 {
 	Group g;
 	bool large_only = true;
@@ -342,14 +347,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(all_start_at_once_),
-		cmocka_unit_test(a_start_costs_few_tables_),
-		cmocka_unit_test(nodes_that_start_agree_by_the_record_),
-		cmocka_unit_test(a_recorded_node_that_is_gone_is_left_),
+		cmocka_unit_test(simultaneous_start_converges_),
+		cmocka_unit_test(startup_sends_few_records_),
+		cmocka_unit_test(starting_nodes_agree_on_recorded_owner_),
+		cmocka_unit_test(unresponsive_recorded_owner_is_abandoned_),
 		cmocka_unit_test(false_suspicions_are_refuted_),
-		cmocka_unit_test(a_silent_node_is_left_by_all_),
-		cmocka_unit_test(duties_fall_to_large_vms_),
-		cmocka_unit_test(rest_is_quiet_),
+		cmocka_unit_test(failed_node_is_detected_),
+		cmocka_unit_test(duties_go_to_large_vms_),
+		cmocka_unit_test(idle_message_rate_is_low_),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
