--- a/include/bayhoist/members.h
+++ b/include/bayhoist/members.h
@@ -18,7 +18,7 @@
 BH__Members *bh__members_new(BH__MembersPort *port, const BH__MemberInfo *self, uint32_t seed);
 void bh__members_delete(BH__Members *m);
 void bh__members_add_seed(BH__Members *m, const char *peer_address);
-void bh__members_presume(BH__Members *m, const BH__MemberInfo *info, uint64_t now_us);
+void bh__members_add_unconfirmed(BH__Members *m, const BH__MemberInfo *info, uint64_t now_us);
 bool bh__members_await(BH__Members *m, uint64_t node_id, uint64_t now_us);
 void bh__members_process_tick(BH__Members *m, uint64_t now_us);
 bool bh__members_process_message(BH__Members *m, const BH__Message *msg, uint64_t now_us);
@@ -26,8 +26,8 @@
 void bh__members_set_self(BH__Members *m, bool leaving, uint64_t config_revision, uint32_t load);
 void bh__members_set_quarantine(BH__Members *m, uint64_t hash);
 void bh__members_announce(BH__Members *m);
-void bh__members_tell_all(BH__Members *m, BH__Message *msg);
-void bh__members_pass_on(BH__Members *m, const BH__Message *msg);
+void bh__members_broadcast(BH__Members *m, BH__Message *msg);
+void bh__members_forward(BH__Members *m, const BH__Message *msg);
 void bh__members_forget(BH__Members *m, uint64_t node_id);
 const BH__MemberInfo *bh__members_get_self(const BH__Members *m);
 const BH__MemberInfo *bh__members_find(const BH__Members *m, uint64_t node_id);
--- a/src/bayhoist-gate/cluster.c
+++ b/src/bayhoist-gate/cluster.c
@@ -109,7 +109,7 @@
 /* Takes a node for alive that is recorded to do a duty. */
 void cluster_presume(Cluster *c, const BH__MemberInfo *info)
 {
-	bh__members_presume(c->members, info, clock_now_us());
+	bh__members_add_unconfirmed(c->members, info, clock_now_us());
 	schedulers_follow(c, clock_now_us());
 }
 
--- a/src/bayhoist-gate/cluster_internal.h
+++ b/src/bayhoist-gate/cluster_internal.h
@@ -4,7 +4,7 @@
 #define BAYHOIST_CLUSTER_INTERNAL_H
 
 #include "bayhoist/signal_relay.h"
-#include "bayhoist/silence.h"
+#include "bayhoist/response_monitor.h"
 #include "bayhoist/takeover.h"
 #include "gate.h"
 
@@ -20,8 +20,8 @@
 	bool recorded;           /* that this node does, or that is under way */
 	BH__Takeover takeover;
 	uint64_t next_holds_us;
-	bool held;           /* something was told of at the last time */
-	BH__Silence silence; /* of the scheduler */
+	bool held;                             /* something was told of at the last time */
+	BH__ResponseMonitor scheduler_monitor; /* of the scheduler */
 } Service;
 
 /* What nodes tell each other of endpoints' signals. */
--- a/src/bayhoist-gate/schedulers.c
+++ b/src/bayhoist-gate/schedulers.c
@@ -75,7 +75,7 @@
 	g_hash_table_iter_init(&it, c->services);
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		if (((Service *)value)->scheduler == node_id)
-			bh__silence_hear(&((Service *)value)->silence);
+			bh__response_monitor_reset(&((Service *)value)->scheduler_monitor);
 }
 
 /* Follows the configuration: each service with engines has a planner. */
@@ -193,7 +193,7 @@
 			bh__takeover_begin(&s->takeover, now_us);
 		else
 			bh__takeover_end(&s->takeover);
-		bh__silence_hear(&s->silence);
+		bh__response_monitor_reset(&s->scheduler_monitor);
 		bh__planner_set_local(s->planner, s->scheduler != self->node_id);
 		schedulers_tell_holds(c, s, now_us);
 		if (was && s->scheduler != was)
@@ -354,7 +354,7 @@
 	const BH__MemberInfo *info = bh__members_find(c->members, node_id);
 	uint64_t now_us = clock_now_us();
 
-	if (node_id != s->scheduler || !bh__silence_note_unanswered(&s->silence, now_us))
+	if (node_id != s->scheduler || !bh__response_monitor_record_timeout(&s->scheduler_monitor, now_us))
 		return;
 	log_event("scheduler", "what=unanswered service=%s node=%s", s->service, info ? info->name : "");
 	bh__members_process_unreachable(c->members, node_id, now_us);
--- a/src/libbayhoist/members.c
+++ b/src/libbayhoist/members.c
@@ -283,7 +283,7 @@
  * the node itself supersedes the record. When all nodes start at once, they thereby agree on the owner of a
  * duty before they have exchanged messages: without it, nine nodes chose up to four schedulers of one service
  * for 480 ms, and each of these granted the same engines. */
-void bh__members_presume(BH__Members *m, const BH__MemberInfo *info, uint64_t now_us)
+void bh__members_add_unconfirmed(BH__Members *m, const BH__MemberInfo *info, uint64_t now_us)
 {
 	Entry_ *e = g_hash_table_lookup(m->by_id, &info->node_id);
 
@@ -496,7 +496,7 @@
 
 /* Sends a message to all live nodes down the ring trees. The message must be of a type that holds a ring
  * range, which this function fills in. */
-void bh__members_tell_all(BH__Members *m, BH__Message *msg)
+void bh__members_broadcast(BH__Members *m, BH__Message *msg)
 {
 	broadcast_on_trees_(m, msg, BH__MESSAGE_UPDATE_TREES);
 }
@@ -542,7 +542,7 @@
 }
 
 /* Forwards a received broadcast to the nodes of the ring range that its sender assigned to this node. */
-void bh__members_pass_on(BH__Members *m, const BH__Message *msg)
+void bh__members_forward(BH__Members *m, const BH__Message *msg)
 {
 	forward_to_range_(m, msg);
 }
--- a/src/libbayhoist/signal_relay.c
+++ b/src/libbayhoist/signal_relay.c
@@ -196,7 +196,7 @@
 		if (bh__signal_relay_merge(r, n, now_us))
 			process_new_update_(r, n, m->as.signals.for_all);
 	}
-	bh__members_pass_on(r->members, m);
+	bh__members_forward(r->members, m);
 	return true;
 }
 
@@ -263,7 +263,7 @@
 	for (unsigned k = 0; k < MESSAGES_PER_TICK_ && done < r->pending->len; k++) {
 		BH__Message m = {.type = BH__MESSAGE_SIGNALS};
 		if (fill_message_(r, &done, now_us, &m))
-			bh__members_tell_all(r->members, &m);
+			bh__members_broadcast(r->members, &m);
 	}
 	g_array_remove_range(r->pending, 0, done);
 }
--- a/src/test_libbayhoist/fleet.c
+++ b/src/test_libbayhoist/fleet.c
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "bayhoist/hash.h"
-#include "quiet_members.h"
+#include "null_members.h"
 
 #define STEP_US (5 * BH__MS_US)
 #define TICK_STEPS 20                   /* between a node's looks at membership and time */
@@ -316,7 +316,7 @@
 	n->index = i;
 	n->id = self.node_id;
 	n->served = true;
-	n->members = bh__members_new(&QuietMembersPort, &self, i);
+	n->members = bh__members_new(&NullMembersPort, &self, i);
 	bh__members_process_message(n->members, &f->table, FLEET_START_US);
 	n->registry = bh__registry_new(i);
 	n->looks = bh__looks_new(&n->port, &options, n->members, n->registry);
--- a/src/test_libbayhoist/member_fleet.c
+++ b/src/test_libbayhoist/member_fleet.c
@@ -43,7 +43,7 @@
 }
 
 /* Returns the initial record of the node with index `i`. */
-BH__MemberInfo member_fleet_describe(unsigned i)
+BH__MemberInfo member_fleet_make_info(unsigned i)
 {
 	BH__MemberInfo info = {.boot_id = 5};
 
@@ -67,7 +67,7 @@
 	f->node = g_new0(MemberNode, count);
 	f->by_address = g_hash_table_new(g_str_hash, g_str_equal);
 	for (unsigned i = 0; i < count; i++)
-		all[i] = member_fleet_describe(i);
+		all[i] = member_fleet_make_info(i);
 	for (unsigned i = 0; i < count; i++) {
 		MemberNode *n = &f->node[i];
 		n->port = (BH__MembersPort){.send = send_, .changed = changed_};
@@ -95,14 +95,14 @@
 }
 
 /* Delivers messages until none is in transit. */
-void member_fleet_settle(MemberFleet *f)
+void member_fleet_deliver_pending(MemberFleet *f)
 {
 	PendingMessage *p;
 
 	while ((p = g_queue_pop_head(&f->pending))) {
 		MemberNode *n = &f->node[p->to];
 		BH__Message m;
-		if (!n->silent && bh__message_decode(&m, p->data, p->len, NULL)) {
+		if (!n->unresponsive && bh__message_decode(&m, p->data, p->len, NULL)) {
 			if (!bh__members_process_message(n->members, &m, f->now_us) && f->on_message)
 				f->on_message(n, &m);
 			bh__message_finish(&m);
@@ -118,9 +118,9 @@
 	for (unsigned done = 0; done < ms; done += TICK_MS) {
 		f->now_us += TICK_MS * BH__MS_US;
 		for (unsigned i = 0; i < f->count; i++)
-			if (!f->node[i].silent)
+			if (!f->node[i].unresponsive)
 				bh__members_process_tick(f->node[i].members, f->now_us);
-		member_fleet_settle(f);
+		member_fleet_deliver_pending(f);
 	}
 }
 
--- a/src/test_libbayhoist/member_fleet.h
+++ b/src/test_libbayhoist/member_fleet.h
@@ -15,7 +15,7 @@
 	void *user; /* owned by the test; NULL: none */
 	uint64_t id;
 	char address[BH__ADDRESS_LEN];
-	bool silent;       /* it neither ticks nor receives messages */
+	bool unresponsive; /* it neither ticks nor receives messages */
 	unsigned sent;     /* messages since the counts were reset */
 	uint64_t bytes;    /* sent since the counts were reset */
 	GHashTable *peers; /* set of index + 1 of the nodes that it has sent to */
@@ -35,11 +35,11 @@
 	uint64_t now_us;
 };
 
-BH__MemberInfo member_fleet_describe(unsigned i);
+BH__MemberInfo member_fleet_make_info(unsigned i);
 MemberFleet *member_fleet_new(unsigned count);
 void member_fleet_delete(MemberFleet *f);
 void member_fleet_send(MemberNode *n, uint64_t node_id, BH__Message *m);
-void member_fleet_settle(MemberFleet *f);
+void member_fleet_deliver_pending(MemberFleet *f);
 void member_fleet_run(MemberFleet *f, unsigned ms);
 void member_fleet_reset_counts(MemberFleet *f);
 unsigned member_fleet_get_busiest(const MemberFleet *f);
--- a/src/test_libbayhoist/quiet_members.c
+++ b/src/test_libbayhoist/null_members.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
 /* A members port that drops all messages. */
-#include "quiet_members.h"
+#include "null_members.h"
 
 static void send_(BH__MembersPort *port, const char *address, BH__Message *m)
 {
@@ -16,10 +16,10 @@
 	(void)old;
 }
 
-BH__MembersPort QuietMembersPort = {.send = send_, .changed = changed_};
+BH__MembersPort NullMembersPort = {.send = send_, .changed = changed_};
 
 /* Adds a member to the table, as if a join from it had been received. */
-void quiet_members_add(BH__Members *m, const BH__MemberInfo *info, uint64_t now_us)
+void null_members_add(BH__Members *m, const BH__MemberInfo *info, uint64_t now_us)
 {
 	BH__Message join = {.type = BH__MESSAGE_JOIN};
 
--- a/src/test_libbayhoist/test_news.c
+++ b/src/test_libbayhoist/test_broadcast.c
@@ -35,7 +35,7 @@
 
 	for (unsigned i = 0; i < f->count; i++) {
 		const BH__MemberInfo *info = bh__members_find(f->node[i].members, leaving);
-		count += !f->node[i].silent && info && info->leaving;
+		count += !f->node[i].unresponsive && info && info->leaving;
 	}
 	return count;
 }
@@ -51,7 +51,7 @@
 		MemberNode *n = &f->node[counts[i] / 2];
 		bh__members_set_self(n->members, true, 0, 0);
 		bh__members_announce(n->members);
-		member_fleet_settle(f);
+		member_fleet_deliver_pending(f);
 		print_message("%u nodes: %u messages in total, at most %u from one node, %u bytes per node\n",
 					  f->count, member_fleet_get_total(f), member_fleet_get_busiest(f),
 					  (unsigned)(f->bytes / f->count));
@@ -72,28 +72,29 @@
 	(void)state;
 	for (unsigned i = 0; i < G_N_ELEMENTS(counts); i++) {
 		MemberFleet *f = member_fleet_new(counts[i]);
-		unsigned silent = 0;
+		unsigned unresponsive = 0;
 		unsigned informed = 0;
 		unsigned announcers = 0;
 		for (unsigned k = 3; k < f->count; k += 20) {
-			f->node[k].silent = true;
-			silent++;
+			f->node[k].unresponsive = true;
+			unresponsive++;
 		}
 		for (unsigned k = 0; announcers < ANNOUNCERS; k++) {
-			if (f->node[k].silent)
+			if (f->node[k].unresponsive)
 				continue;
 			bh__members_set_self(f->node[k].members, true, 0, 0);
 			bh__members_announce(f->node[k].members);
-			member_fleet_settle(f);
+			member_fleet_deliver_pending(f);
 			informed += count_informed_(f, f->node[k].id);
 			announcers++;
 		}
-		print_message("%u nodes, %u unresponsive: %.1f of the others receive it at once\n", f->count, silent,
-					  (double)informed / ANNOUNCERS);
-		assert_true(informed >= REACHED_SHARE_MIN * ANNOUNCERS * (f->count - silent));
+		print_message("%u nodes, %u unresponsive: %.1f of the others receive it at once\n", f->count,
+					  unresponsive, (double)informed / ANNOUNCERS);
+		assert_true(informed >= REACHED_SHARE_MIN * ANNOUNCERS * (f->count - unresponsive));
 		member_fleet_run(f, CONVERGENCE_MAX_MS);
 		for (unsigned k = 0; k < ANNOUNCERS; k++)
-			assert_true(f->node[k].silent || count_informed_(f, f->node[k].id) == f->count - silent);
+			assert_true(f->node[k].unresponsive ||
+						count_informed_(f, f->node[k].id) == f->count - unresponsive);
 		member_fleet_delete(f);
 	}
 }
@@ -108,7 +109,7 @@
 	for (unsigned i = 0; i < f->count; i++)
 		if (i != 7 && i % 300 == 0)
 			bh__members_process_unreachable(f->node[i].members, suspect, BH__SECOND_US);
-	member_fleet_settle(f);
+	member_fleet_deliver_pending(f);
 	for (unsigned i = 0; i < f->count; i++)
 		assert_int_equal(bh__members_find(f->node[i].members, suspect)->state, BH__MEMBER_ALIVE);
 	print_message("1000 nodes, four suspect one: %u messages, at most %u from one node\n",
@@ -124,7 +125,7 @@
 static void small_table_difference_sends_few_records_(void **state)
 {
 	MemberFleet *f = member_fleet_new(1000);
-	BH__MemberInfo info = member_fleet_describe(500);
+	BH__MemberInfo info = member_fleet_make_info(500);
 	BH__Message update = {.type = BH__MESSAGE_MEMBERS, .as.members = {.count = 1, .member = &info}};
 	unsigned uninformed = 0;
 
@@ -149,24 +150,24 @@
 {
 	bh__members_set_self(f->node[i].members, true, 0, 0);
 	bh__members_announce(f->node[i].members);
-	member_fleet_settle(f);
-	f->node[i].silent = true;
+	member_fleet_deliver_pending(f);
+	f->node[i].unresponsive = true;
 }
 
 /* Starts a stopped node with an empty table and three seeds. */
 static void restart_node_(MemberFleet *f, unsigned i)
 {
 	MemberNode *n = &f->node[i];
-	BH__MemberInfo self = member_fleet_describe(i);
+	BH__MemberInfo self = member_fleet_make_info(i);
 
 	self.boot_id = 6;
 	bh__members_delete(n->members);
 	n->members = bh__members_new(&n->port, &self, 10000 + i);
-	n->silent = false;
+	n->unresponsive = false;
 	for (unsigned k = 0; k < SEEDS; k++)
 		bh__members_add_seed(n->members, f->node[f->count - 1 - k].address);
 	bh__members_process_tick(n->members, f->now_us);
-	member_fleet_settle(f);
+	member_fleet_deliver_pending(f);
 }
 
 /* Nodes are restarted in turn, four per second, each a second after it was stopped. The bytes sent for it
--- a/src/test_libbayhoist/test_crash_watch.c
+++ b/src/test_libbayhoist/test_crash_watch.c
@@ -9,7 +9,7 @@
 #include <string.h>
 #include "bayhoist/crash_watch.h"
 #include "bayhoist/hash.h"
-#include "quiet_members.h"
+#include "null_members.h"
 
 #define NODES 300
 #define SERVICE 77
@@ -104,9 +104,9 @@
 		g_snprintf(info.name, sizeof info.name, "vm%u", k);
 		g_snprintf(info.peer_address, sizeof info.peer_address, "1.1.%u.%u:1", k / 250, k % 250);
 		if (i == 0)
-			n->members = bh__members_new(&QuietMembersPort, &info, 1);
+			n->members = bh__members_new(&NullMembersPort, &info, 1);
 		else if (k != index)
-			quiet_members_add(n->members, &info, f->now_us);
+			null_members_add(n->members, &info, f->now_us);
 	}
 	n->watch = bh__crash_watch_new(&n->port, n->members);
 }
--- a/src/test_libbayhoist/test_duties.c
+++ b/src/test_libbayhoist/test_duties.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include "bayhoist/caller_time.h"
 #include "bayhoist/takeover.h"
-#include "quiet_members.h"
+#include "null_members.h"
 
 #define NODES 4
 #define START_US (1000 * BH__SECOND_US)
@@ -18,11 +18,11 @@
 static BH__Members *members_(void)
 {
 	BH__MemberInfo info = {.node_id = 1, .boot_id = 1, .name = "n-1"};
-	BH__Members *m = bh__members_new(&QuietMembersPort, &info, 1);
+	BH__Members *m = bh__members_new(&NullMembersPort, &info, 1);
 
 	for (unsigned i = 2; i <= NODES; i++) {
 		info.node_id = i;
-		quiet_members_add(m, &info, START_US);
+		null_members_add(m, &info, START_US);
 	}
 	return m;
 }
--- a/src/test_libbayhoist/test_gateway.c
+++ b/src/test_libbayhoist/test_gateway.c
@@ -16,7 +16,7 @@
 #include "bayhoist/registry.h"
 #include "bayhoist/planner.h"
 #include "bayhoist/routing.h"
-#include "bayhoist/silence.h"
+#include "bayhoist/response_monitor.h"
 
 #define SPLITS 10000
 
@@ -485,19 +485,19 @@
  * (incidents inc-181a and inc-f200 of the users). */
 static void silence_takes_asks_and_time_(void **state)
 {
-	BH__Silence s = {0};
+	BH__ResponseMonitor s = {0};
 
 	(void)state;
 	for (unsigned i = 0; i < 10; i++)
-		assert_false(bh__silence_note_unanswered(&s, 1000 * BH__MS_US));
-	assert_true(bh__silence_note_unanswered(&s, 1200 * BH__MS_US));
-	assert_false(bh__silence_note_unanswered(&s, 1201 * BH__MS_US)); /* the count begins again */
-
-	bh__silence_hear(&s);
-	assert_false(bh__silence_note_unanswered(&s, 2000 * BH__MS_US));
-	assert_false(bh__silence_note_unanswered(&s, 3000 * BH__MS_US)); /* two are too few */
-	bh__silence_hear(&s);
-	assert_false(bh__silence_note_unanswered(&s, 3001 * BH__MS_US));
+		assert_false(bh__response_monitor_record_timeout(&s, 1000 * BH__MS_US));
+	assert_true(bh__response_monitor_record_timeout(&s, 1200 * BH__MS_US));
+	assert_false(bh__response_monitor_record_timeout(&s, 1201 * BH__MS_US)); /* the count begins again */
+
+	bh__response_monitor_reset(&s);
+	assert_false(bh__response_monitor_record_timeout(&s, 2000 * BH__MS_US));
+	assert_false(bh__response_monitor_record_timeout(&s, 3000 * BH__MS_US)); /* two are too few */
+	bh__response_monitor_reset(&s);
+	assert_false(bh__response_monitor_record_timeout(&s, 3001 * BH__MS_US));
 }
 
 /* All nodes start at once: endpoints and duties are there after 200 ms, the configuration after 500. What
--- a/src/test_libbayhoist/test_members.c
+++ b/src/test_libbayhoist/test_members.c
@@ -196,7 +196,7 @@
 	BH__MemberInfo info = *bh__members_get_self(g->node[duty].members);
 
 	for (unsigned i = 0; i < NODES; i++)
-		bh__members_presume(g->node[i].members, &info, g->now_us);
+		bh__members_add_unconfirmed(g->node[i].members, &info, g->now_us);
 }
 
 /* When all nodes start at once and a record names the last owner of a duty, all agree on that owner before
--- a/src/test_libbayhoist/test_signal_relay.c
+++ b/src/test_libbayhoist/test_signal_relay.c
@@ -126,7 +126,7 @@
 	unsigned count = 0;
 
 	for (unsigned i = 0; i < f->count; i++)
-		count += !f->node[i].silent && considers_usable_(&f->node[i], endpoint);
+		count += !f->node[i].unresponsive && considers_usable_(&f->node[i], endpoint);
 	return count;
 }
 
@@ -144,9 +144,9 @@
 static void tick_(MemberFleet *f)
 {
 	for (unsigned i = 0; i < f->count; i++)
-		if (!f->node[i].silent)
+		if (!f->node[i].unresponsive)
 			bh__signal_relay_process_tick(((RelayNode *)f->node[i].user)->relay, f->now_us);
-	member_fleet_settle(f);
+	member_fleet_deliver_pending(f);
 }
 
 /* Returns the home node of the service that all endpoints of the tests belong to. */
@@ -172,7 +172,7 @@
 			for (unsigned k = 0; k < receivers; k++)
 				assert_true(receive_leaving_(&f->node[k * (f->count / receivers)], 1));
 			assert_false(receive_leaving_(&f->node[0], 1));
-			member_fleet_settle(f);
+			member_fleet_deliver_pending(f);
 			tick_(f);
 			print_message("%u nodes, %u receivers: %u messages in total, at most %u by one node, at most %u "
 						  "bytes by one node\n",
@@ -198,7 +198,7 @@
 		MemberFleet *f = fleet_new_(Counts_[i], endpoints);
 		for (unsigned k = 0; k < endpoints; k++) {
 			receive_leaving_(&f->node[k * 7 % f->count], k);
-			member_fleet_settle(f);
+			member_fleet_deliver_pending(f);
 			if (k % 30 == 29)
 				tick_(f);
 		}
@@ -227,9 +227,9 @@
 		MemberNode *home = find_home_of_(f);
 		MemberNode *receiver = home == &f->node[0] ? &f->node[1] : &f->node[0];
 		unsigned waited_ms = 0;
-		home->silent = true;
+		home->unresponsive = true;
 		receive_leaving_(receiver, 1);
-		member_fleet_settle(f);
+		member_fleet_deliver_pending(f);
 		while (count_nodes_using_(f, 1) && waited_ms < HOME_DEATH_DETECTED_MS) {
 			member_fleet_run(f, TICK_MS);
 			tick_(f);
@@ -250,7 +250,7 @@
 	RelayNode *old = late->user;
 
 	(void)state;
-	late->silent = true;
+	late->unresponsive = true;
 	for (unsigned k = 0; k < 70; k++)
 		receive_leaving_(home, k);
 	for (unsigned k = 0; k < 5; k++)
@@ -259,10 +259,10 @@
 	bh__registry_delete(old->registry);
 	g_free(old);
 	start_relay_node_(late, 80);
-	late->silent = false;
+	late->unresponsive = false;
 	assert_true(considers_usable_(late, 69));
 	bh__signal_relay_notify_node(((RelayNode *)home->user)->relay, late->id, f->now_us);
-	member_fleet_settle(f);
+	member_fleet_deliver_pending(f);
 	for (unsigned k = 0; k < 80; k++)
 		assert_int_equal(considers_usable_(late, k), k >= 70);
 	fleet_delete_(f);
@@ -277,7 +277,7 @@
 
 	(void)state;
 	receive_leaving_(&f->node[0], 1);
-	member_fleet_settle(f);
+	member_fleet_deliver_pending(f);
 	tick_(f);
 	assert_int_equal(count_nodes_using_(f, 1), 0);
 	late.as.signals.count = 1;
@@ -318,7 +318,7 @@
 			if (notifies)
 				receive_leaving_(&f->node[at], 1);
 		}
-		member_fleet_settle(f);
+		member_fleet_deliver_pending(f);
 		tick_(f);
 	}
 	*messages = member_fleet_get_total(f);
@@ -433,7 +433,7 @@
 			}
 			load.refused += tries == 2 || !e;
 		}
-		member_fleet_settle(f);
+		member_fleet_deliver_pending(f);
 		if (step % (TICK_MS * BH__MS_US / LOAD_STEP_US) == 0)
 			tick_(f);
 	}
@@ -520,7 +520,7 @@
 			member_fleet_reset_counts(f);
 			f->now_us += BH__SECOND_US;
 			assert_true(receive_limit_(&f->node[f->count / 2], 1, k ? 0 : 2.5));
-			member_fleet_settle(f);
+			member_fleet_deliver_pending(f);
 			tick_(f);
 			assert_int_equal(count_limited_(f, 1), k ? 0 : f->count);
 			assert_true(member_fleet_get_busiest(f) <= SENT_PER_NODE_MAX + 1);
@@ -543,7 +543,7 @@
 		for (unsigned k = 0; k < 1000; k++) { /* 100 answers per second */
 			f->now_us += 10 * BH__MS_US;
 			receive_limit_(&f->node[k * 7 % f->count], 1, 10 + (k % 10) * 0.1);
-			member_fleet_settle(f);
+			member_fleet_deliver_pending(f);
 			if (k % 10 == 9)
 				tick_(f);
 		}
@@ -558,7 +558,7 @@
 			receive_limit_(&f->node[k * 7 % f->count], k, 5);
 			if (k % 30 == 29) {
 				f->now_us += TICK_MS * BH__MS_US;
-				member_fleet_settle(f);
+				member_fleet_deliver_pending(f);
 				tick_(f);
 			}
 		}
--- a/src/test_libbayhoist/test_source.c
+++ b/src/test_libbayhoist/test_source.c
@@ -10,7 +10,7 @@
 #include <string.h>
 #include "bayhoist/hash.h"
 #include "bayhoist/source.h"
-#include "quiet_members.h"
+#include "null_members.h"
 
 #define NODES 295
 #define HALLS 5
@@ -41,12 +41,12 @@
 static BH__Members *table_new_(unsigned i, unsigned count)
 {
 	BH__MemberInfo self = describe_(i);
-	BH__Members *m = bh__members_new(&QuietMembersPort, &self, i);
+	BH__Members *m = bh__members_new(&NullMembersPort, &self, i);
 
 	for (unsigned k = 0; k < count; k++) {
 		BH__MemberInfo other = describe_(k);
 		if (k != i)
-			quiet_members_add(m, &other, START_US);
+			null_members_add(m, &other, START_US);
 	}
 	return m;
 }
