--- a/include/bayhoist/knowledge.h
+++ b/include/bayhoist/knowledge.h
@@ -1,33 +1,36 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What a node that starts must know before it can judge a request: the configuration, the endpoints, and who
- * does which duty. Each is read from the platform or told by another node. */
+/* State that a starting node must load before it can decide on a request: the configuration, the endpoints,
+ * and the record of which node has which duty. Each is read from the platform or received from another node.
+ */
 #ifndef BAYHOIST_KNOWLEDGE_H
 #define BAYHOIST_KNOWLEDGE_H
 
 #include "bayhoist/types.h"
 
-/* For which a node that starts keeps requests without a word from anybody: as long as it would tell their
- * callers to stay away, since nobody else knows more when all start. Where the store came back 0.45 s after a
- * start of all, 97 requests that were refused after 0.3 s came back into the rush of the others. */
+/* Time after its start in which a node holds requests although it has received nothing yet. It is as long as
+ * the back-off that a refusal would ask of the callers, because no other node knows more when all of them
+ * start together. In a test where the store came back 0.45 s after all nodes had started, 97 requests that
+ * were refused after 0.3 s came back at the same time as the rush of the other requests. */
 #define BH__KNOWLEDGE_START_US BH__SECOND_US
 
 typedef enum {
-	BH__KNOWLEDGE_WHOLE,  /* all is known */
-	BH__KNOWLEDGE_COMING, /* something is not, and is on its way */
-	BH__KNOWLEDGE_MISSING /* something is not, and nothing says that it will be soon */
+	BH__KNOWLEDGE_WHOLE,  /* all state is loaded */
+	BH__KNOWLEDGE_COMING, /* some state is missing and is expected soon */
+	BH__KNOWLEDGE_MISSING /* some state is missing, and nothing indicates that it will arrive soon */
 } BH__KnowledgeState;
 
 typedef struct {
-	uint64_t started_us;       /* start of the node */
-	uint64_t configuration_us; /* when each was learnt first; 0: it was not */
-	uint64_t endpoints_us;
-	uint64_t duties_us;
-	uint64_t asked_us;  /* when the configuration was last asked for; 0: it was not, or that has failed */
-	uint64_t answer_us; /* within which that is answered or fails */
+	uint64_t started_us;       /* start time of the node */
+	uint64_t configuration_us; /* when the configuration was first loaded; 0: not yet */
+	uint64_t endpoints_us;     /* when the endpoints were first loaded; 0: not yet */
+	uint64_t duties_us; /* when the record of duties was first loaded, or its read failed; 0: not yet */
+	uint64_t
+		configuration_asked_us; /* when the configuration was last requested; 0: not yet, or that failed */
+	uint64_t configuration_timeout_us; /* time after that request by which it is answered or fails */
 } BH__Knowledge;
 
 void bh__knowledge_init(BH__Knowledge *k, uint64_t now_us);
-void bh__knowledge_note_asked(BH__Knowledge *k, uint64_t answer_us, uint64_t now_us);
+void bh__knowledge_note_asked(BH__Knowledge *k, uint64_t timeout_us, uint64_t now_us);
 void bh__knowledge_note_failed(BH__Knowledge *k);
 void bh__knowledge_note_configuration(BH__Knowledge *k, uint64_t now_us);
 void bh__knowledge_note_endpoints(BH__Knowledge *k, uint64_t now_us);
--- a/include/bayhoist/look.h
+++ b/include/bayhoist/look.h
@@ -1,18 +1,19 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* When to look at a store again that may be away: a period after the last look, or where that was not
- * answered, a time that doubles with each. */
+/* Schedules reads of the platform's store, which may be unavailable. The next read is due one period after
+ * the last one, or after a delay that doubles with each read that was not answered. */
 #ifndef BAYHOIST_LOOK_H
 #define BAYHOIST_LOOK_H
 
 #include "bayhoist/types.h"
 
-#define BH__LOOK_BACKOFF_MAX_US                                                                              \
-	(3 * BH__SECOND_US) /* nodes that are left without the store hear of it from others */
+/* Upper bound of the delay between unanswered reads. Nodes without access to the store receive its state from
+ * other nodes meanwhile. */
+#define BH__LOOK_BACKOFF_MAX_US (3 * BH__SECOND_US)
 
-/* Looks of one kind. */
+/* Schedule of one kind of platform read. */
 typedef struct {
-	uint64_t sent_us;    /* the last one; 0: none */
-	uint64_t backoff_us; /* until the next, if it is not answered */
+	uint64_t sent_us;    /* time of the last read; 0: none was sent */
+	uint64_t backoff_us; /* delay until the next read if the last one is not answered */
 } BH__Look;
 
 uint64_t bh__look_get_old_us(uint64_t bound_us, uint64_t period_us, bool reads_itself);
--- a/include/bayhoist/looks.h
+++ b/include/bayhoist/looks.h
@@ -1,7 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* One node's part in sharing what the platform says: when it looks at the platform itself, whom it asks
- * (source.h), and what it answers and takes. What it does not know of the gateway and the platform it asks
- * its port. No I/O, no clock of its own. */
+/* One node's part in sharing platform state among all nodes: when it reads the platform itself, which node it
+ * asks (BH__Source), how it answers other nodes, and how it merges what they send. It reaches the gateway and
+ * the platform through its port. It does no I/O and has no clock of its own. */
 #ifndef BAYHOIST_LOOKS_H
 #define BAYHOIST_LOOKS_H
 
@@ -10,68 +10,77 @@
 #include "bayhoist/outage.h"
 #include "bayhoist/registry.h"
 
-/* What a node did or found, for the log. */
+/* Events for the log. */
 typedef enum {
-	BH__LOOKS_ASKS,          /* it asks another node from now on */
-	BH__LOOKS_READS,         /* it reads the platform for others */
-	BH__LOOKS_FOUND_STALE,   /* the node that it asked knows nothing fresh */
-	BH__LOOKS_FOUND_SILENT,  /* that node does not answer */
-	BH__LOOKS_FOUND_DAMAGED, /* a node told a configuration that cannot be unpacked */
-	BH__LOOKS_LOST,          /* it knows nothing fresh, and finds nobody who does: it searches */
-	BH__LOOKS_FOUND,         /* it knows what the platform says again */
-	BH__LOOKS_TOOK_OVER,     /* it reads the platform for all, since nobody else is known to */
-	BH__LOOKS_LOOKED_AGAIN,  /* its look was not answered for long, and was sent again */
+	BH__LOOKS_ASKS,          /* this node asks another source from now on */
+	BH__LOOKS_READS,         /* this node reads the platform for others */
+	BH__LOOKS_FOUND_STALE,   /* the source has no fresh state */
+	BH__LOOKS_FOUND_SILENT,  /* the source does not answer */
+	BH__LOOKS_FOUND_DAMAGED, /* another node sent a configuration that cannot be unpacked */
+	BH__LOOKS_LOST,          /* this node has no fresh state and no source: it searches for one */
+	BH__LOOKS_FOUND,         /* this node has fresh state again */
+	BH__LOOKS_TOOK_OVER,     /* this node reads the platform for all, since no other reader is known */
+	BH__LOOKS_LOOKED_AGAIN,  /* a platform read was not answered in time and was sent again */
 	BH__LOOKS_EVENT_COUNT
 } BH__LooksEvent;
 
-extern const char *const BH__LooksEventString[];
+extern const char *const BH__LooksEventString[]; /* names of the events in the log */
 
-/* The configuration that the node holds. */
+/* The configuration that the node holds. Times are start times of platform reads, in microseconds. */
 typedef struct {
-	uint64_t version;   /* 0: none */
-	uint64_t looked_us; /* when the look was begun that last showed it to be the newest */
-	uint64_t none_us;   /* when the look was begun that last showed that there is none yet */
+	uint64_t version;   /* 0: the node holds none */
+	uint64_t looked_us; /* latest read that showed this version to be the newest; 0: none */
+	uint64_t none_us;   /* latest read that showed that the platform has no configuration yet; 0: none */
 } BH__LooksConfiguration;
 
+/* Callbacks to the gateway. */
 typedef struct BH__LooksPort {
+	/* Sends a message to a node. */
 	void (*send)(struct BH__LooksPort *port, uint64_t node_id, BH__Message *m);
-	/* Looks at the platform; one that is under way is not begun again. The end of one at endpoints is told by
-	 * bh__looks_note_answered() or bh__looks_note_lost(). */
+	/* Reads the configuration from the platform. Does nothing while such a read is in progress. */
 	void (*look_at_configuration)(struct BH__LooksPort *port);
-	/* `limit_us` is the longest that the answer may take; 0: as long as usual. */
+	/* Reads the endpoints from the platform, with a time-out of `limit_us`, or the usual time-out if that is
+	 * 0. Does nothing while such a read is in progress. Its end is reported by bh__looks_note_answered() or
+	 * bh__looks_note_lost(). */
 	void (*look_at_endpoints)(struct BH__LooksPort *port, uint64_t limit_us);
-	/* Sends the look at endpoints that is under way once more. The first answer ends it; without any it ends
-	 * when it would have. Returns false if it can't be sent again. */
+	/* Sends the endpoints read that is in progress once more. The first answer ends the read; without an
+	 * answer it still ends at its original time-out. Returns false if it cannot be sent again. */
 	bool (*look_at_endpoints_again)(struct BH__LooksPort *port);
-	/* Sets whether a change of the configuration is to be heard of at once, without a look. */
+	/* Sets whether the platform is to report a change of the configuration at once, without a read. */
 	void (*watch_configuration)(struct BH__LooksPort *port, bool wanted);
+	/* Returns the configuration that the node holds. */
 	BH__LooksConfiguration (*get_configuration)(struct BH__LooksPort *port);
+	/* Returns the text of that configuration. */
 	const char *(*get_configuration_text)(struct BH__LooksPort *port);
-	/* Takes a configuration from another node. Returns false if it is wrong. */
+	/* Applies a configuration received from another node, which a platform read begun at `looked_us`
+	 * returned. Returns false if it is invalid. */
 	bool (*take_configuration)(struct BH__LooksPort *port, const char *text, uint64_t looked_us);
-	/* Another node's look has shown the configuration that is held to be the newest. */
+	/* Records that another node's platform read, begun at `looked_us`, showed the held configuration to be
+	 * the newest. */
 	void (*confirm_configuration)(struct BH__LooksPort *port, uint64_t looked_us);
-	/* The registry holds what another node told of endpoints. */
+	/* Reports that endpoints or hall drain states received from another node are merged into the registry. */
 	void (*learnt)(struct BH__LooksPort *port);
-	/* For the log: an event; and what was told of endpoints, of which `was_count` were known before. */
+	/* Logs an event that concerns node `node_id`. */
 	void (*said)(struct BH__LooksPort *port, BH__LooksEvent event, uint64_t node_id);
+	/* Logs the endpoints received in `m`. Before that the registry held `was_count` endpoints. */
 	void (*was_told)(struct BH__LooksPort *port, const BH__Message *m, unsigned was_count);
 } BH__LooksPort;
 
-/* Where a node has its knowledge from, for operators. */
+/* Age and origin of a node's platform state, for operators. Times are in microseconds. */
 typedef struct {
-	uint64_t known_us;      /* when the look was begun that it shows; 0: there is none */
-	BH__Place place;        /* in the store's history */
-	uint64_t lost_since_us; /* when it began to search; 0: it does not */
-	uint64_t asked_node;    /* that it asks; itself: it reads the platform */
-	uint64_t next_own_us;   /* when it looks itself, while it searches */
+	uint64_t known_us; /* start time of the platform read whose endpoints the node holds; 0: it holds none */
+	BH__Place place;   /* version of the store as of which they are known */
+	uint64_t lost_since_us; /* when the node began to search for a source; 0: it does not search */
+	uint64_t asked_node;    /* id of the node's source; its own id: it reads the platform */
+	uint64_t next_own_us;   /* time of its next own platform read while it searches; 0: it does not search */
 } BH__LooksStatus;
 
 typedef struct {
-	uint64_t endpoint_drain_ms; /* in which an endpoint that leaves is to be left by all */
-	uint64_t configuration_ms;  /* in which a configuration is to be in force everywhere */
-	double away_looks_per_s;    /* of all nodes together, at a platform that is away */
-	uint64_t draw;              /* a number of this node's own, from which its random times come */
+	uint64_t endpoint_drain_ms; /* time limit for all nodes to stop using an endpoint that leaves */
+	uint64_t configuration_ms;  /* time limit for a configuration to be in force on all nodes */
+	double away_looks_per_s;    /* platform reads per second of all nodes together while the platform is
+								   unavailable */
+	uint64_t draw;              /* seed of this node's random times; differs by node */
 } BH__LooksOptions;
 
 typedef struct BH__Looks BH__Looks;
--- a/include/bayhoist/place.h
+++ b/include/bayhoist/place.h
@@ -1,7 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* A place in the history of the platform's store. What is known of the store carries the place as of which it
- * holds, so that any node can tell older news from newer whichever order they come in, and whoever tells
- * them. A store that came back from a copy gives revisions out again; its era is higher then. */
+/* Version of the platform's store. State read from the store carries the version as of which it is valid, so
+ * that any node can tell older state from newer, whatever the order in which it arrives and whichever node
+ * sends it. A store that is restored from a backup hands out revisions again, but with a higher era. */
 #ifndef BAYHOIST_PLACE_H
 #define BAYHOIST_PLACE_H
 
@@ -10,8 +10,8 @@
 #define BH__PLACE_TEXT_LEN 40 /* "era.revision" with its terminator */
 
 typedef struct {
-	uint64_t era;      /* grows each time that the store comes back from a copy */
-	uint64_t revision; /* grows with each change of the store within an era; 0 in era 0: before all */
+	uint64_t era;      /* grows each time that the store is restored from a backup */
+	uint64_t revision; /* grows with each change of the store within an era; 0 in era 0: nothing is known */
 } BH__Place;
 
 int bh__place_compare(BH__Place a, BH__Place b);
--- a/include/bayhoist/takeover.h
+++ b/include/bayhoist/takeover.h
@@ -1,18 +1,19 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The first moments of a node that takes over a duty, in which it learns what the others hold. */
+/* Start of a duty that this node takes over, while it collects from the other nodes the grants that they
+ * hold. */
 #ifndef BAYHOIST_TAKEOVER_H
 #define BAYHOIST_TAKEOVER_H
 
 #include <glib.h>
 #include "bayhoist/members.h"
 
-/* That others are waited for, at most: a third of the shortest aim of a first event that the users have. */
+/* Longest wait for the other nodes' reports: a third of the shortest first-token target among the users. */
 #define BH__TAKEOVER_MAX_US (100 * BH__MS_US)
 
 typedef struct {
-	uint64_t begun_us; /* 0: the duty is another node's */
-	bool told_all;     /* by the node that had the duty before */
-	GHashTable *told;  /* when each node last told what it holds, in us, by node id */
+	uint64_t begun_us; /* when this node took the duty; 0: another node has it */
+	bool received_all; /* the report of the node that had the duty before has arrived: it names all grants */
+	GHashTable *report_us; /* time of each node's latest report of its grants, in microseconds, by node id */
 } BH__Takeover;
 
 void bh__takeover_init(BH__Takeover *t);
--- a/src/libbayhoist/knowledge.c
+++ b/src/libbayhoist/knowledge.c
@@ -1,71 +1,80 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Whether a node that starts is to keep the requests that it gets, or to refuse them. */
+/* Decides whether a starting node holds the requests that it receives or refuses them. */
 #include "bayhoist/knowledge.h"
 
 #include <glib.h>
 #include <string.h>
 
+/* Initializes the state of a node that starts at `now_us`. */
 void bh__knowledge_init(BH__Knowledge *k, uint64_t now_us)
 {
 	memset(k, 0, sizeof *k);
 	k->started_us = now_us;
 }
 
-/* The configuration was asked for; within `answer_us` that is answered or fails. */
-void bh__knowledge_note_asked(BH__Knowledge *k, uint64_t answer_us, uint64_t now_us)
+/* Records that the configuration was requested. The request is answered or fails within `timeout_us`. */
+void bh__knowledge_note_asked(BH__Knowledge *k, uint64_t timeout_us, uint64_t now_us)
 {
-	k->asked_us = now_us;
-	k->answer_us = answer_us;
+	k->configuration_asked_us = now_us;
+	k->configuration_timeout_us = timeout_us;
 }
 
-/* The configuration was asked for in vain. */
+/* Records that the request for the configuration has failed. */
 void bh__knowledge_note_failed(BH__Knowledge *k)
 {
-	k->asked_us = 0;
+	k->configuration_asked_us = 0;
 }
 
-static void note_(uint64_t *learnt_us, uint64_t now_us)
+/* Sets a time that is not set yet. */
+static void note_first_(uint64_t *first_us, uint64_t now_us)
 {
-	if (!*learnt_us)
-		*learnt_us = now_us;
+	if (!*first_us)
+		*first_us = now_us;
 }
 
+/* Records that the configuration is loaded. */
 void bh__knowledge_note_configuration(BH__Knowledge *k, uint64_t now_us)
 {
-	note_(&k->configuration_us, now_us);
+	note_first_(&k->configuration_us, now_us);
 }
 
+/* Records that the endpoints are loaded. */
 void bh__knowledge_note_endpoints(BH__Knowledge *k, uint64_t now_us)
 {
-	note_(&k->endpoints_us, now_us);
+	note_first_(&k->endpoints_us, now_us);
 }
 
-/* The record of duties was read, or could not be: it is a hint. */
+/* Records that the record of duties was read, or that its read failed. The record is only a hint, so a failed
+ * read counts as loaded. */
 void bh__knowledge_note_duties(BH__Knowledge *k, uint64_t now_us)
 {
-	note_(&k->duties_us, now_us);
+	note_first_(&k->duties_us, now_us);
 }
 
+/* Returns true if both the configuration and the endpoints are loaded. */
 bool bh__knowledge_has_endpoints(const BH__Knowledge *k)
 {
 	return k->configuration_us && k->endpoints_us;
 }
 
-/* Returns until when requests are kept that come before all is known; in the past: they are refused.
+/* Returns the time until which requests that arrive before all state is loaded are held. If it is in the
+ * past, they are refused.
  *
- * Just after the start they are kept in any case. Later the configuration alone may be missing, the largest
- * of the three: where all of 85 nodes start at once and read 400 kB each, the endpoints are there after 0.2 s
- * and the configuration after 0.5 s. A platform that has told the endpoints answers, so that its answer is
- * waited for. Without that, nodes that kept requests for 0.3 s refused 272 of one start. */
+ * Requests are always held just after the start. Later only the configuration, the largest of the three, may
+ * be missing: when all of 85 nodes start at once and read 400 kB each, the endpoints arrive after 0.2 s and
+ * the configuration after 0.5 s. A platform that has sent the endpoints is answering, so the node waits for
+ * the configuration as well. Without that wait, nodes that held requests for 0.3 s refused 272 requests in
+ * one start. */
 uint64_t bh__knowledge_get_wait_until_us(const BH__Knowledge *k)
 {
 	uint64_t until_us = k->started_us + BH__KNOWLEDGE_START_US;
 
-	if (!k->configuration_us && k->endpoints_us && k->asked_us)
-		until_us = MAX(until_us, k->asked_us + k->answer_us);
+	if (!k->configuration_us && k->endpoints_us && k->configuration_asked_us)
+		until_us = MAX(until_us, k->configuration_asked_us + k->configuration_timeout_us);
 	return until_us;
 }
 
+/* Returns whether all state is loaded, and if not, whether it is expected soon. */
 BH__KnowledgeState bh__knowledge_get_state(const BH__Knowledge *k, uint64_t now_us)
 {
 	if (bh__knowledge_has_endpoints(k) && k->duties_us)
--- a/src/libbayhoist/look.c
+++ b/src/libbayhoist/look.c
@@ -1,25 +1,26 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The time of looks at a store that may be away. */
+/* Schedule of platform reads with exponential backoff. */
 #include "bayhoist/look.h"
 
 #include <glib.h>
 
-/* Of the time in which a change is to be in force everywhere: what others tell is usually younger, and what
- * is left is enough for a look and for taking up what it shows. */
-#define OLD_SHARE_ 0.8
+/* Share of the time limit for applying a change on all nodes. State received from other nodes is usually
+ * younger than this, and the rest of the limit is enough for a read and for applying its result. */
+#define MAX_AGE_SHARE_ 0.8
 
-/* Returns the age from which on a node that does not read for others looks at the configuration itself; a
- * change is to be in force everywhere within `bound_us`. One that reads the endpoints itself, since no peer
- * told it of them, hears nothing of the configuration either: it looks once a period, as a reader does. With
- * the whole bound for an age, nodes that were left alone took a change up 60 ms after it. */
+/* Returns the age in microseconds at which a node that does not read for others reads the configuration
+ * itself. All nodes must apply a change within `bound_us`. A node that reads the endpoints itself
+ * (`reads_itself`), because no peer sent them, does not receive the configuration from peers either: it reads
+ * once per `period_us`, as the reader does. With the whole bound as maximum age, nodes without peers applied
+ * a change 60 ms too late. */
 uint64_t bh__look_get_old_us(uint64_t bound_us, uint64_t period_us, bool reads_itself)
 {
-	return reads_itself ? period_us : (uint64_t)((double)bound_us * OLD_SHARE_);
+	return reads_itself ? period_us : (uint64_t)((double)bound_us * MAX_AGE_SHARE_);
 }
 
-/* Returns true, and takes it for made, if a look may be made now. `answered_us` is when the latest look was
- * sent that was answered. With `steady` the store is known to answer somebody, or others wait for this node:
- * it looks once a period. */
+/* Returns true if a read is due at `now_us`, and then records it as sent. `answered_us` is the send time of
+ * the latest read that was answered. With `steady`, reads are sent once per period without backoff, because
+ * the store is known to answer other nodes or because other nodes depend on this one. */
 bool bh__look_process(BH__Look *l, uint64_t period_us, uint64_t answered_us, bool steady, uint64_t now_us)
 {
 	bool failed = l->sent_us && answered_us < l->sent_us;
--- a/src/libbayhoist/looks.c
+++ b/src/libbayhoist/looks.c
@@ -1,9 +1,9 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What the platform says, shared among the nodes, since each look at it costs a call. A node asks its source
- * (source.h) what there is that it does not know yet. The source keeps the question until it has news or has
- * looked again, so that a change reaches every node within a few messages' time, and what a node knows is
- * never much older than the reader's latest look. With the answer comes the configuration itself if there is
- * a newer one, and which endpoints have come, changed or left: a node that the platform turns away goes on
+/* Sharing of platform state among the nodes, since each platform read costs a call. A node asks its source
+ * (BH__Source) for state that it does not have yet. The source holds the request until it has an update or
+ * has read again. A change therefore reaches every node within a few messages, and the state of a node is
+ * never much older than the reader's latest read. The answer contains the configuration if there is a newer
+ * one, and the endpoints that were added, changed or removed, so that a node that the platform refuses works
  * as well as the others. */
 #include "bayhoist/looks.h"
 
@@ -13,51 +13,58 @@
 #include "bayhoist/look.h"
 #include "bayhoist/source.h"
 
-/* Between the reader's looks, as shares of the times in which a leaving endpoint is to be left and a
- * configuration to be in force: a look that fails can be made again, and what it shows still be told in time.
- */
-#define ENDPOINTS_LOOK_SHARE_ 0.25
-#define CONFIGURATION_LOOK_SHARE_ 0.35 /* a watch tells of most changes at once */
-/* The age, as a share of the same time, at which a node does not rely on its source any more. */
-#define ENDPOINTS_OLD_SHARE_ 0.65
-/* Between looks of a node that has started and has no answer yet: it serves nobody. */
-#define UNINFORMED_US_ (150 * BH__MS_US)
-/* After which a reader's look that is not answered is sent again, unless the store's answers take longer. */
-#define AGAIN_US_ (150 * BH__MS_US)
-#define ANSWER_UNIT_US_ BH__MS_US /* in which answers of the store are reckoned: all are about as long */
-/* Before a reader watches: nodes that start all think they read, until they know each other. */
-#define WATCH_AFTER_US_ BH__SECOND_US
-/* For a source's answer, beside the time for which it may keep the question. */
-#define ANSWER_US_ (300 * BH__MS_US)
-/* For which a source may keep a question beyond the reader's period: for the look and its way here. */
+/* Periods of the reader's platform reads, as shares of the time limits for leaving an endpoint and for
+ * applying a configuration. They leave time to repeat a failed read and to send its result to all nodes. */
+#define ENDPOINTS_PERIOD_SHARE_ 0.25
+#define CONFIGURATION_PERIOD_SHARE_ 0.35 /* a watch reports most changes at once */
+/* Maximum age of the endpoints, as a share of the same time limit. Older state is not fresh. */
+#define ENDPOINTS_MAX_AGE_SHARE_ 0.65
+/* Period of the platform reads of a node that has just started and has no answer yet. It cannot serve
+ * requests. */
+#define STARTUP_PERIOD_US_ (150 * BH__MS_US)
+/* Time after which an unanswered read of a reader is sent again, unless the store's answers take longer. */
+#define RESEND_US_ (150 * BH__MS_US)
+/* Expected duration of every answer of the store, since all answers are about as long. */
+#define EXPECTED_ANSWER_US_ BH__MS_US
+/* Time until a reader starts a watch. Starting nodes all consider themselves the reader until they know each
+ * other. */
+#define WATCH_DELAY_US_ BH__SECOND_US
+/* Time-out for a source's answer, beyond the time for which it may hold the request. */
+#define ANSWER_TIMEOUT_US_ (300 * BH__MS_US)
+/* Time beyond the reader's period for which a source may hold a request. It covers the read and the
+ * delivery of its result. */
 #define HOLD_EXTRA_US_ (200 * BH__MS_US)
-/* For which one may while no source knows anything fresh, or another reader was just found: then another node
- * is asked, so that news of one is with all of hundreds within some of these. */
-#define AWAY_HOLD_US_ (250 * BH__MS_US)
-/* For the answer to a node's own look at a platform that is away. A look that meets silence keeps the node
- * from the next one; an answer of a platform that is fifty times as slow as usual takes 0.2 s. */
-#define AWAY_LOOK_US_ (300 * BH__MS_US)
-#define HOLD_MAX_US_ (10 * BH__SECOND_US) /* whatever the asker says */
-/* Before an asker that knows less of halls is told what it lacks: if it does not take that, it asks again. */
-#define HALLS_WAIT_US_ (50 * BH__MS_US)
-/* What a source has seen is news if it is so much younger than what the asker knows: messages take some of
- * that themselves. */
-#define YOUNGER_US_ (50 * BH__MS_US)
-
-/* A question that waits for news. */
+/* Time for which a source may hold a request while no source has fresh state or a new reader was just found.
+ * The node then asks another source, so that the notice of a reader reaches all of hundreds of nodes within a
+ * few of these times. */
+#define SEARCH_HOLD_US_ (250 * BH__MS_US)
+/* Time-out of a node's own read of an unavailable platform. A read without an answer blocks the node's next
+ * one. An answer of a platform that is 50 times as slow as usual takes 0.2 s. */
+#define OWN_READ_TIMEOUT_US_ (300 * BH__MS_US)
+#define HOLD_MAX_US_ (10 * BH__SECOND_US) /* upper bound of the hold time, whatever the request says */
+/* Delay of the answer to a node that lacks hall drain states. If the node does not accept them it asks again,
+ * and this delay limits the rate. */
+#define HALLS_DELAY_US_ (50 * BH__MS_US)
+/* State of a source counts as an update if it is younger than the asker's by this much. The messages
+ * themselves take part of that time. */
+#define YOUNGER_MIN_US_ (50 * BH__MS_US)
+
+/* A request that is held until there is an update. Times are in microseconds. */
 typedef struct {
-	uint64_t node;
-	uint64_t asked_us; /* by the asker's clock */
-	uint64_t arrived_us;
-	uint64_t until_us; /* it is answered by then, news or not */
-	uint64_t configuration_version;
-	BH__Place place;        /* up to which the asker knows all changes of endpoints */
-	bool knows_less_halls;  /* than this node did when it asked */
-	uint64_t halls_version; /* of what this node knew of halls then */
-	bool knows_away;        /* the asker has heard from several that the platform is away */
-	uint64_t known_us;      /* by this node's clock, of when the asker's knowledge of endpoints is */
-} HeldQuestion_;
+	uint64_t node;                  /* node that asks */
+	uint64_t asked_us;              /* send time, by the asker's clock */
+	uint64_t received_us;           /* arrival, by this node's clock */
+	uint64_t answer_by_us;          /* time by which it is answered, with an update or without */
+	uint64_t configuration_version; /* the asker's configuration; 0: it has none */
+	BH__Place place;                /* version up to which the asker has all changes of endpoints */
+	bool lacks_halls;               /* this node had hall drain states on arrival that the asker lacked */
+	uint64_t halls_version;         /* version of this node's hall drain states on arrival */
+	bool knows_unavailable;         /* several sources have told the asker that the platform is unavailable */
+	uint64_t
+		as_of_us; /* start time of the platform read whose endpoints the asker has, by this node's clock */
+} HeldRequest_;
 
+/* Times are in microseconds. */
 struct BH__Looks {
 	BH__LooksPort *port;
 	BH__LooksOptions options;
@@ -65,27 +72,26 @@
 	BH__Registry *registry;
 	BH__Source source;
 	BH__Outage outage;
-	uint64_t known_us;        /* when the look was begun that the registry shows */
-	uint64_t lost_us;         /* when a look at endpoints last failed */
-	uint64_t sent_us;         /* when the look at endpoints that is under way was last sent; 0: none is, or it
-							   * can't be sent again */
-	BH__AnswerTime answers;   /* of the store to looks at endpoints */
-	uint64_t asked_us;        /* 0: no question is open */
-	uint64_t answer_until_us; /* of that question */
-	bool asks_back;           /* it is to a node that knows a later configuration, not to the source */
-	uint64_t reads_since_us;  /* 0: this node is not the reader */
-	uint64_t next_own_us;     /* look of a node that is not the reader, while the platform is away */
-	uint64_t draws;           /* random times that were drawn */
-	uint64_t lost_since_us;   /* when this node began to search; 0: it does not */
-	bool was_lost;            /* this node's last look was not answered */
-	BH__Look configuration;
-	BH__Look endpoints;
-	uint64_t
-		told_reader; /* node whose look at endpoints this node was told last; 0: it looked itself since */
-	uint64_t refused_version; /* of a configuration that was told and is wrong */
-	BH__PackedText packed;    /* the configuration as it is sent on */
-	uint64_t packed_version;
-	GArray *held; /* HeldQuestion_ */
+	uint64_t as_of_us;       /* start time of the platform read whose endpoints the registry holds; 0: none */
+	uint64_t read_failed_us; /* when an own endpoints read last failed; 0: never */
+	uint64_t read_sent_us; /* when the endpoints read in progress was last sent; 0: none is in progress, or it
+							* cannot be sent again */
+	BH__AnswerTime store_answer_time; /* of the store's answers to endpoints reads */
+	uint64_t asked_us;                /* when the open request was sent; 0: none is open */
+	uint64_t answer_by_us;            /* time-out of the open request */
+	bool asks_newer_node; /* the open request went to a node with a later configuration, not to the source */
+	uint64_t reader_since_us; /* when this node became the reader; 0: it is not */
+	uint64_t next_own_us;     /* next own read of a node other than the reader, in an outage */
+	uint64_t draw_count;      /* number of random times drawn */
+	uint64_t lost_since_us;   /* when this node began to search for a source; 0: it does not search */
+	bool last_read_failed;    /* this node's last endpoints read was not answered */
+	BH__Look configuration_schedule;
+	BH__Look endpoints_schedule;
+	uint64_t remote_reader; /* node whose platform read this node last merged; 0: it has read itself since */
+	uint64_t rejected_version; /* of an invalid configuration that was received; 0: none */
+	BH__PackedText packed;     /* the configuration in the form in which it is sent on */
+	uint64_t packed_version;   /* version of the packed configuration; 0: none */
+	GArray *held;              /* HeldRequest_ */
 };
 
 const char *const BH__LooksEventString[] = {"ask",  "read",  "found-stale", "found-silent", "found-damaged",
@@ -94,40 +100,42 @@
 static uint64_t share_us_(uint64_t ms, double share);
 static bool is_fresh_(const BH__Looks *l, uint64_t now_us);
 static bool is_current_(const BH__Looks *l, uint64_t now_us);
-static bool is_lost_(const BH__Looks *l);
-static uint64_t endpoints_old_us_(const BH__Looks *l);
+static bool is_reader_out_of_sync_(const BH__Looks *l);
+static uint64_t endpoints_max_age_us_(const BH__Looks *l);
 static uint64_t endpoints_period_us_(const BH__Looks *l);
 static uint64_t configuration_period_us_(const BH__Looks *l);
-static void follow_source_(BH__Looks *l, uint64_t now_us);
-static void note_useless_(BH__Looks *l, bool stale, uint64_t now_us);
+static void update_source_(BH__Looks *l, uint64_t now_us);
+static void skip_source_(BH__Looks *l, bool stale, uint64_t now_us);
 static void end_search_(BH__Looks *l, uint64_t now_us);
-static void draw_own_look_(BH__Looks *l, uint64_t now_us);
-static void look_(BH__Looks *l, uint64_t now_us);
-static void look_as_reader_(BH__Looks *l, uint64_t now_us);
-static void leave_reading_(BH__Looks *l, uint64_t now_us);
-static bool is_reached_(const BH__Looks *l);
+static void draw_own_read_(BH__Looks *l, uint64_t now_us);
+static void read_platform_(BH__Looks *l, uint64_t now_us);
+static void read_as_reader_(BH__Looks *l, uint64_t now_us);
+static void ask_others_as_reader_(BH__Looks *l, uint64_t now_us);
+static bool has_own_answer_(const BH__Looks *l);
 static void take_over_(BH__Looks *l, uint64_t now_us);
-static void tell_next_(BH__Looks *l, uint64_t reader);
+static void notify_children_(BH__Looks *l, uint64_t reader);
 static bool is_configuration_old_(const BH__Looks *l, uint64_t now_us);
-static void look_at_endpoints_alone_(BH__Looks *l, uint64_t now_us);
-static void look_at_configuration_alone_(BH__Looks *l, uint64_t now_us);
-static void look_at_endpoints_(BH__Looks *l, uint64_t limit_us, uint64_t now_us);
-static void look_at_endpoints_again_(BH__Looks *l, uint64_t now_us);
-static void note_known_(BH__Looks *l, uint64_t looked_us);
-static void ask_(BH__Looks *l, uint64_t now_us);
-static void send_question_(BH__Looks *l, uint64_t node, uint64_t hold_us, uint64_t now_us);
-static void ask_back_(BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us);
-static bool has_news_(const BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us);
-static void answer_(BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us);
+static void read_endpoints_as_non_reader_(BH__Looks *l, uint64_t now_us);
+static void read_configuration_as_non_reader_(BH__Looks *l, uint64_t now_us);
+static void read_endpoints_(BH__Looks *l, uint64_t limit_us, uint64_t now_us);
+static void resend_endpoints_read_(BH__Looks *l, uint64_t now_us);
+static void note_as_of_(BH__Looks *l, uint64_t looked_us);
+static void ask_source_(BH__Looks *l, uint64_t now_us);
+static void send_request_(BH__Looks *l, uint64_t node, uint64_t hold_us, uint64_t now_us);
+static void ask_newer_node_(BH__Looks *l, const HeldRequest_ *q, uint64_t now_us);
+static bool has_update_(const BH__Looks *l, const HeldRequest_ *q, uint64_t now_us);
+static void answer_request_(BH__Looks *l, const HeldRequest_ *q, uint64_t now_us);
 static const BH__PackedText *packed_configuration_(BH__Looks *l, uint64_t version);
-static void add_facts_(const BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us, GArray *facts,
+static void add_facts_(const BH__Looks *l, const HeldRequest_ *q, uint64_t now_us, GArray *facts,
 					   GArray *departures, bool *whole);
-static void fill_halls_(const BH__Looks *l, BH__Message *m);
-static void take_halls_(BH__Looks *l, const BH__Message *m, uint64_t now_us);
-static void take_configuration_(BH__Looks *l, const BH__Message *m, uint64_t looked_us);
-static void take_facts_(BH__Looks *l, const BH__Message *m, uint64_t looked_us, uint64_t now_us);
-static void keep_only_told_(BH__Registry *r, const BH__Message *m, uint64_t now_us);
-
+static void add_halls_(const BH__Looks *l, BH__Message *m);
+static void merge_halls_(BH__Looks *l, const BH__Message *m, uint64_t now_us);
+static void apply_configuration_(BH__Looks *l, const BH__Message *m, uint64_t looked_us);
+static void merge_facts_(BH__Looks *l, const BH__Message *m, uint64_t looked_us, uint64_t now_us);
+static void remove_unlisted_(BH__Registry *r, const BH__Message *m, uint64_t now_us);
+
+/* Creates the platform sync of a node. `port`, `members` and `registry` must outlive it. bh__looks_delete()
+ * frees it. */
 BH__Looks *bh__looks_new(BH__LooksPort *port, const BH__LooksOptions *options, const BH__Members *members,
 						 BH__Registry *registry)
 {
@@ -137,7 +145,7 @@
 	l->options = *options;
 	l->members = members;
 	l->registry = registry;
-	l->held = g_array_new(FALSE, FALSE, sizeof(HeldQuestion_));
+	l->held = g_array_new(FALSE, FALSE, sizeof(HeldRequest_));
 	return l;
 }
 
@@ -150,126 +158,131 @@
 	g_free(l);
 }
 
-/* Takes options that have changed. */
+/* Sets changed options. */
 void bh__looks_set_options(BH__Looks *l, const BH__LooksOptions *options)
 {
 	l->options = *options;
 }
 
-/* Returns when the look was begun that the registry shows; 0: nothing is known of endpoints. */
+/* Returns the start time, in microseconds, of the platform read whose endpoints the registry holds. 0: the
+ * registry holds none. */
 uint64_t bh__looks_get_known_us(const BH__Looks *l)
 {
-	return l->known_us;
+	return l->as_of_us;
 }
 
-/* Returns what operators are to know of where the node has its knowledge from. */
+/* Returns the age and the origin of this node's platform state, for operators. */
 BH__LooksStatus bh__looks_get_status(const BH__Looks *l)
 {
-	return (BH__LooksStatus){.known_us = l->known_us,
+	return (BH__LooksStatus){.known_us = l->as_of_us,
 							 .place = bh__registry_get_place(l->registry),
 							 .lost_since_us = l->lost_since_us,
 							 .asked_node = l->source.node,
 							 .next_own_us = l->lost_since_us ? l->next_own_us : 0};
 }
 
-/* Returns from when on an endpoint is to be taken as gone whose entry is found to be, by a look that ends
- * now. */
+/* Returns the time, in microseconds, from which an endpoint counts as gone when a platform read that ends at
+ * `now_us` finds its entry missing. */
 uint64_t bh__looks_get_gone_at_us(const BH__Looks *l, uint64_t now_us)
 {
-	return bh__outage_get_gone_at_us(&l->outage, l->known_us, now_us);
+	return bh__outage_get_gone_at_us(&l->outage, l->as_of_us, now_us);
 }
 
-/* This node's own look at endpoints, as it was sent at `sent_us`, has been answered; the registry shows what
- * it found. */
+/* Records that this node's own endpoints read, in the sending of `sent_us`, was answered and its result is in
+ * the registry. */
 void bh__looks_note_answered(BH__Looks *l, uint64_t sent_us, uint64_t now_us)
 {
-	l->sent_us = 0;
-	bh__answer_time_note(&l->answers, MAX(now_us - sent_us, 1), ANSWER_UNIT_US_);
-	note_known_(l, sent_us);
+	l->read_sent_us = 0;
+	bh__answer_time_note(&l->store_answer_time, MAX(now_us - sent_us, 1), EXPECTED_ANSWER_US_);
+	note_as_of_(l, sent_us);
 }
 
-/* The registry shows the endpoints as they were when a look was begun. */
-static void note_known_(BH__Looks *l, uint64_t looked_us)
+/* Records that the registry holds the endpoints as of a platform read begun at `looked_us`. */
+static void note_as_of_(BH__Looks *l, uint64_t looked_us)
 {
-	l->known_us = MAX(l->known_us, looked_us);
+	l->as_of_us = MAX(l->as_of_us, looked_us);
 }
 
-/* This node's own look at endpoints, which was sent at `sent_us` and had `timeout_us`, has failed: others
- * hear of it if this node looks for them. */
+/* Records that this node's own endpoints read, sent at `sent_us` with a time-out of `timeout_us`, has failed.
+ * If this node reads for others, it answers their held requests accordingly. */
 void bh__looks_note_lost(BH__Looks *l, uint64_t sent_us, uint64_t timeout_us, uint64_t now_us)
 {
-	l->sent_us = 0;
-	l->lost_us = now_us;
-	l->was_lost = true;
+	l->read_sent_us = 0;
+	l->read_failed_us = now_us;
+	l->last_read_failed = true;
 	bh__outage_note_failed(&l->outage, sent_us, timeout_us, now_us);
 	bh__looks_process_news(l, now_us);
 }
 
+/* Returns a share of a time in milliseconds, in microseconds. */
 static uint64_t share_us_(uint64_t ms, double share)
 {
 	return (uint64_t)((double)ms * BH__MS_US * share);
 }
 
-/* Returns true if this node's knowledge of endpoints is young enough to be passed on. */
+/* Returns true if this node's endpoints are young enough to be sent to other nodes. */
 static bool is_fresh_(const BH__Looks *l, uint64_t now_us)
 {
-	return l->known_us && !is_lost_(l) && now_us < l->known_us + endpoints_old_us_(l);
+	return l->as_of_us && !is_reader_out_of_sync_(l) && now_us < l->as_of_us + endpoints_max_age_us_(l);
 }
 
-/* Returns true if what is known of endpoints is as young as a reader keeps it that the platform answers.
- * Where nodes looked at the configuration themselves while it was merely not old, 237 of 295 did so at once,
- * a second into an outage. */
+/* Returns true if the endpoints are as young as a reader keeps them while the platform answers it. When nodes
+ * only required fresh endpoints before they read the configuration themselves, 237 of 295 nodes did so at
+ * once, a second into an outage. */
 static bool is_current_(const BH__Looks *l, uint64_t now_us)
 {
 	return is_fresh_(l, now_us) &&
-		   now_us < l->known_us + endpoints_period_us_(l) + HOLD_EXTRA_US_ + ANSWER_US_;
+		   now_us < l->as_of_us + endpoints_period_us_(l) + HOLD_EXTRA_US_ + ANSWER_TIMEOUT_US_;
 }
 
-/* Returns true if this node reads the platform for others and its last look failed. They hear of it at once:
- * where the platform turns just the reader away, a change that was made then came to the others 2 s later. */
-static bool is_lost_(const BH__Looks *l)
+/* Returns true if this node reads the platform for others and its last read failed. It tells them at once:
+ * without that, a change made while the platform refused only the reader reached the other nodes 2 s
+ * later. */
+static bool is_reader_out_of_sync_(const BH__Looks *l)
 {
-	return l->reads_since_us && l->lost_us > l->known_us;
+	return l->reader_since_us && l->read_failed_us > l->as_of_us;
 }
 
-/* Returns the age from which on what is known of endpoints is not relied on. */
-static uint64_t endpoints_old_us_(const BH__Looks *l)
+/* Returns the age at which endpoints are no longer fresh. */
+static uint64_t endpoints_max_age_us_(const BH__Looks *l)
 {
-	return share_us_(l->options.endpoint_drain_ms, ENDPOINTS_OLD_SHARE_);
+	return share_us_(l->options.endpoint_drain_ms, ENDPOINTS_MAX_AGE_SHARE_);
 }
 
-/* Returns the time between the reader's looks at the endpoints. */
+/* Returns the period of the reader's endpoints reads. */
 static uint64_t endpoints_period_us_(const BH__Looks *l)
 {
-	return share_us_(l->options.endpoint_drain_ms, ENDPOINTS_LOOK_SHARE_);
+	return share_us_(l->options.endpoint_drain_ms, ENDPOINTS_PERIOD_SHARE_);
 }
 
-/* The same for the configuration. */
+/* Returns the period of the reader's configuration reads. */
 static uint64_t configuration_period_us_(const BH__Looks *l)
 {
-	return share_us_(l->options.configuration_ms, CONFIGURATION_LOOK_SHARE_);
+	return share_us_(l->options.configuration_ms, CONFIGURATION_PERIOD_SHARE_);
 }
 
-/* Looks or asks if it is time. To be called several times a second. */
+/* Reads the platform and asks the source if these are due. Must be called several times a second. */
 void bh__looks_process_tick(BH__Looks *l, uint64_t now_us)
 {
-	if (l->asked_us && now_us >= l->answer_until_us) {
-		if (l->asks_back)
+	if (l->asked_us && now_us >= l->answer_by_us) {
+		if (l->asks_newer_node)
 			l->asked_us = 0;
 		else
-			note_useless_(l, false, now_us);
+			skip_source_(l, false, now_us);
 	}
 	take_over_(l, now_us);
-	follow_source_(l, now_us);
+	update_source_(l, now_us);
 	end_search_(l, now_us);
-	l->port->watch_configuration(l->port, l->reads_since_us && now_us >= l->reads_since_us + WATCH_AFTER_US_);
-	look_(l, now_us);
+	l->port->watch_configuration(l->port,
+								 l->reader_since_us && now_us >= l->reader_since_us + WATCH_DELAY_US_);
+	read_platform_(l, now_us);
 	if (bh__source_asks(&l->source, l->members) && !l->asked_us)
-		ask_(l, now_us);
+		ask_source_(l, now_us);
 }
 
-/* Asks another source where membership, or what has become of the last question, wants that. */
-static void follow_source_(BH__Looks *l, uint64_t now_us)
+/* Updates the choice of source from membership and the outcome of the last request, and whether this node is
+ * the reader. */
+static void update_source_(BH__Looks *l, uint64_t now_us)
 {
 	bool asks;
 
@@ -280,36 +293,37 @@
 		l->asked_us = 0;
 	}
 	if (!bh__source_reads(&l->source, l->members, now_us))
-		l->reads_since_us = 0;
-	else if (!l->reads_since_us)
-		l->reads_since_us = now_us;
+		l->reader_since_us = 0;
+	else if (!l->reader_since_us)
+		l->reader_since_us = now_us;
 }
 
-/* The source was of no use: the next in rank is asked, at once. */
-static void note_useless_(BH__Looks *l, bool stale, uint64_t now_us)
+/* Skips a source that was of no use, because its state was stale or it did not answer, and chooses the next
+ * one. */
+static void skip_source_(BH__Looks *l, bool stale, uint64_t now_us)
 {
-	bool was_away = bh__source_is_platform_away(&l->source);
-	bool is_away;
+	bool was_unavailable = bh__source_is_platform_away(&l->source);
+	bool is_unavailable;
 
-	if (!l->lost_since_us) /* a search asks some four nodes a second: its beginning and end are said */
+	if (!l->lost_since_us) /* a search asks about four nodes a second: only its start and end are logged */
 		l->port->said(l->port, stale ? BH__LOOKS_FOUND_STALE : BH__LOOKS_FOUND_SILENT, l->source.node);
 	if (stale)
 		bh__source_note_stale(&l->source, now_us);
 	else
 		bh__source_note_silent(&l->source, now_us);
-	is_away = bh__source_is_platform_away(&l->source);
-	if (stale && is_away)
+	is_unavailable = bh__source_is_platform_away(&l->source);
+	if (stale && is_unavailable)
 		bh__outage_note_others_lost(&l->outage, now_us);
-	if (!was_away && is_away) {
-		draw_own_look_(l, now_us);
+	if (!was_unavailable && is_unavailable) {
+		draw_own_read_(l, now_us);
 		l->lost_since_us = now_us;
 		l->port->said(l->port, BH__LOOKS_LOST, l->source.node);
 	}
 	l->asked_us = 0;
-	follow_source_(l, now_us);
+	update_source_(l, now_us);
 }
 
-/* Says so when the search is over. */
+/* Ends the search, and logs it, once the node has fresh state. */
 static void end_search_(BH__Looks *l, uint64_t now_us)
 {
 	if (!l->lost_since_us || bh__source_is_platform_away(&l->source) || !is_fresh_(l, now_us))
@@ -318,284 +332,299 @@
 	l->port->said(l->port, BH__LOOKS_FOUND, l->source.node);
 }
 
-/* Draws when this node looks next while the platform is away. */
-static void draw_own_look_(BH__Looks *l, uint64_t now_us)
+/* Draws the time of this node's next own read while the platform is unavailable. */
+static void draw_own_read_(BH__Looks *l, uint64_t now_us)
 {
-	uint64_t draw =
-		bh__hash_pair(bh__hash_pair(l->options.draw, bh__members_get_self(l->members)->node_id), ++l->draws);
+	uint64_t random = bh__hash_pair(bh__hash_pair(l->options.draw, bh__members_get_self(l->members)->node_id),
+									++l->draw_count);
 
-	l->next_own_us = now_us + bh__source_get_look_wait_us(l->members, l->options.away_looks_per_s, draw);
+	l->next_own_us = now_us + bh__source_get_look_wait_us(l->members, l->options.away_looks_per_s, random);
 }
 
-/* Looks at the platform if this node is to read it, has just started, or has to see for itself. */
-static void look_(BH__Looks *l, uint64_t now_us)
+/* Reads the platform if this node is the reader, has just started, or gets no fresh state from other nodes.
+ */
+static void read_platform_(BH__Looks *l, uint64_t now_us)
 {
-	if (l->reads_since_us) {
-		look_as_reader_(l, now_us);
-		leave_reading_(l, now_us);
+	if (l->reader_since_us) {
+		read_as_reader_(l, now_us);
+		ask_others_as_reader_(l, now_us);
 		return;
 	}
 	if (!is_fresh_(l, now_us))
-		look_at_endpoints_alone_(l, now_us);
-	if (is_configuration_old_(l, now_us) && (is_current_(l, now_us) || is_reached_(l)))
-		look_at_configuration_alone_(l, now_us);
+		read_endpoints_as_non_reader_(l, now_us);
+	if (is_configuration_old_(l, now_us) && (is_current_(l, now_us) || has_own_answer_(l)))
+		read_configuration_as_non_reader_(l, now_us);
 }
 
-/* The reader looks once a period. While the endpoints' list is not answered that is enough to see when the
- * platform is back. */
-static void look_as_reader_(BH__Looks *l, uint64_t now_us)
+/* Reads as the reader, once per period. While the endpoints read is not answered the configuration is not
+ * read: the endpoints reads are enough to notice that the platform is back. */
+static void read_as_reader_(BH__Looks *l, uint64_t now_us)
 {
 	BH__LooksConfiguration c = l->port->get_configuration(l->port);
-	bool knows = c.version || c.none_us;
-	bool is_away = l->endpoints.sent_us && l->known_us < l->endpoints.sent_us;
-	uint64_t configuration_us = knows ? configuration_period_us_(l) : UNINFORMED_US_;
-	uint64_t endpoints_us = l->known_us ? endpoints_period_us_(l) : UNINFORMED_US_;
+	bool has_answer = c.version || c.none_us;
+	bool is_unavailable = l->endpoints_schedule.sent_us && l->as_of_us < l->endpoints_schedule.sent_us;
+	uint64_t configuration_us = has_answer ? configuration_period_us_(l) : STARTUP_PERIOD_US_;
+	uint64_t endpoints_us = l->as_of_us ? endpoints_period_us_(l) : STARTUP_PERIOD_US_;
 
-	if (!is_away && bh__look_process(&l->configuration, configuration_us, c.looked_us, true, now_us))
+	if (!is_unavailable &&
+		bh__look_process(&l->configuration_schedule, configuration_us, c.looked_us, true, now_us))
 		l->port->look_at_configuration(l->port);
-	if (bh__look_process(&l->endpoints, endpoints_us, l->known_us, true, now_us))
-		look_at_endpoints_(l, 0, now_us);
-	if (!l->was_lost) /* then those that search see the store's return */
-		look_at_endpoints_again_(l, now_us);
+	if (bh__look_process(&l->endpoints_schedule, endpoints_us, l->as_of_us, true, now_us))
+		read_endpoints_(l, 0, now_us);
+	if (!l->last_read_failed) /* else the searching nodes notice that the store is back */
+		resend_endpoints_read_(l, now_us);
 }
 
-/* A reader that the platform does not answer asks others too. */
-static void leave_reading_(BH__Looks *l, uint64_t now_us)
+/* Makes a reader that the platform does not answer ask other nodes too. */
+static void ask_others_as_reader_(BH__Looks *l, uint64_t now_us)
 {
-	bool is_lost = is_lost_(l) && l->lost_us >= l->reads_since_us;
-	bool is_old = !is_fresh_(l, now_us) && now_us >= l->reads_since_us + endpoints_old_us_(l);
+	bool has_failed = is_reader_out_of_sync_(l) && l->read_failed_us >= l->reader_since_us;
+	bool is_old = !is_fresh_(l, now_us) && now_us >= l->reader_since_us + endpoints_max_age_us_(l);
 
-	if (!bh__source_asks(&l->source, l->members) && (is_lost || is_old) &&
+	if (!bh__source_asks(&l->source, l->members) && (has_failed || is_old) &&
 		bh__members_get_count(l->members) > 1)
-		note_useless_(l, true, now_us);
+		skip_source_(l, true, now_us);
 }
 
-/* Returns true if this node's own last look at endpoints was answered, and none was told of since. */
-static bool is_reached_(const BH__Looks *l)
+/* Returns true if this node's last endpoints read was answered and it has merged no other node's read since.
+ */
+static bool has_own_answer_(const BH__Looks *l)
 {
-	return !l->told_reader && l->endpoints.sent_us && l->known_us >= l->endpoints.sent_us;
+	return !l->remote_reader && l->endpoints_schedule.sent_us && l->as_of_us >= l->endpoints_schedule.sent_us;
 }
 
-/* A node that the platform answers, while it knows of none that reads it, reads it for all from now on; so
- * does a reader that is answered again. */
+/* Takes over as the reader for all nodes if the platform answers this node and it knows no other reader, or
+ * if this node is a reader that is answered again. */
 static void take_over_(BH__Looks *l, uint64_t now_us)
 {
-	bool reads = l->reads_since_us && l->was_lost;
+	bool reads = l->reader_since_us && l->last_read_failed;
 
-	if (!is_reached_(l) || !is_fresh_(l, now_us))
+	if (!has_own_answer_(l) || !is_fresh_(l, now_us))
 		return;
 	if (bh__source_take_over(&l->source, l->members, reads, now_us)) {
 		l->port->said(l->port, BH__LOOKS_TOOK_OVER, bh__members_get_self(l->members)->node_id);
-		tell_next_(l, bh__members_get_self(l->members)->node_id);
+		notify_children_(l, bh__members_get_self(l->members)->node_id);
 	}
-	l->was_lost = false;
+	l->last_read_failed = false;
 }
 
-/* Tells the nodes below this one who reads the platform. */
-static void tell_next_(BH__Looks *l, uint64_t reader)
+/* Notifies this node's children in the tree of who reads the platform. */
+static void notify_children_(BH__Looks *l, uint64_t reader)
 {
-	BH__Message news = {.type = BH__MESSAGE_READER};
-	uint64_t next[BH__SOURCE_NEXT_MAX];
-	unsigned count = bh__source_list_next(l->members, reader, next);
+	BH__Message notice = {.type = BH__MESSAGE_READER};
+	uint64_t child[BH__SOURCE_NEXT_MAX];
+	unsigned count = bh__source_list_next(l->members, reader, child);
 
-	news.as.look.reader = reader;
+	notice.as.look.reader = reader;
 	for (unsigned i = 0; i < count; i++)
-		l->port->send(l->port, next[i], &news);
+		l->port->send(l->port, child[i], &notice);
 }
 
-/* Another node says who reads the platform for all. It is told on, and asked what it knows from now on. */
+/* Handles a notice of which node reads the platform for all. If this node accepts it, it notifies its
+ * children and asks accordingly from now on. */
 void bh__looks_process_reader(BH__Looks *l, const BH__Message *m, uint64_t now_us)
 {
 	if (!bh__source_note_reader(&l->source, l->members, m->as.look.reader, m->from_node, now_us))
 		return;
-	tell_next_(l, m->as.look.reader);
+	notify_children_(l, m->as.look.reader);
 	l->asked_us = 0;
-	follow_source_(l, now_us);
+	update_source_(l, now_us);
 	if (bh__source_asks(&l->source, l->members))
-		ask_(l, now_us);
+		ask_source_(l, now_us);
 }
 
+/* Returns true if the configuration is old enough that a node other than the reader reads it itself. */
 static bool is_configuration_old_(const BH__Looks *l, uint64_t now_us)
 {
 	BH__LooksConfiguration c = l->port->get_configuration(l->port);
 	uint64_t bound_us = l->options.configuration_ms * BH__MS_US;
-	uint64_t old_us = bh__look_get_old_us(bound_us, configuration_period_us_(l), is_reached_(l));
+	uint64_t max_age_us = bh__look_get_old_us(bound_us, configuration_period_us_(l), has_own_answer_(l));
 
-	return now_us >= MAX(c.looked_us, c.none_us) + old_us;
+	return now_us >= MAX(c.looked_us, c.none_us) + max_age_us;
 }
 
-/* A node that is not the reader looks if what it knows is old and no peer answers, or none knows better. */
-static void look_at_endpoints_alone_(BH__Looks *l, uint64_t now_us)
+/* Reads the endpoints if this node, which is not the reader and has no fresh endpoints, gets no answer from
+ * peers, or gets only stale state and its own read is due. */
+static void read_endpoints_as_non_reader_(BH__Looks *l, uint64_t now_us)
 {
 	uint64_t period_us = endpoints_period_us_(l);
-	bool is_away = bh__source_is_platform_away(&l->source);
+	bool is_unavailable = bh__source_is_platform_away(&l->source);
 
 	if (bh__source_is_cut_off(&l->source)) {
-		if (bh__look_process(&l->endpoints, period_us, l->known_us, false, now_us))
-			look_at_endpoints_(l, 0, now_us);
+		if (bh__look_process(&l->endpoints_schedule, period_us, l->as_of_us, false, now_us))
+			read_endpoints_(l, 0, now_us);
 	}
-	else if (is_away && now_us >= l->next_own_us) {
-		draw_own_look_(l, now_us);
-		l->endpoints.sent_us = now_us;
-		look_at_endpoints_(l, AWAY_LOOK_US_, now_us);
+	else if (is_unavailable && now_us >= l->next_own_us) {
+		draw_own_read_(l, now_us);
+		l->endpoints_schedule.sent_us = now_us;
+		read_endpoints_(l, OWN_READ_TIMEOUT_US_, now_us);
 	}
 }
 
-/* The same for the configuration, where the endpoints' list shows that the platform answers. */
-static void look_at_configuration_alone_(BH__Looks *l, uint64_t now_us)
+/* Reads the configuration on a node that is not the reader, if that is due. The caller has made sure that the
+ * platform answers reads of the endpoints. */
+static void read_configuration_as_non_reader_(BH__Looks *l, uint64_t now_us)
 {
 	BH__LooksConfiguration c = l->port->get_configuration(l->port);
 
-	if (bh__look_process(&l->configuration, configuration_period_us_(l), c.looked_us, false, now_us))
+	if (bh__look_process(&l->configuration_schedule, configuration_period_us_(l), c.looked_us, false, now_us))
 		l->port->look_at_configuration(l->port);
 }
 
-static void look_at_endpoints_(BH__Looks *l, uint64_t limit_us, uint64_t now_us)
+/* Starts an endpoints read with a time-out of `limit_us`; 0: the usual one. */
+static void read_endpoints_(BH__Looks *l, uint64_t limit_us, uint64_t now_us)
 {
-	l->told_reader = 0;
-	if (!l->sent_us)
-		l->sent_us = now_us;
+	l->remote_reader = 0;
+	if (!l->read_sent_us)
+		l->read_sent_us = now_us;
 	l->port->look_at_endpoints(l->port, limit_us);
 }
 
-/* A look that a store swallowed, or a link lost, keeps the reader from seeing for the rest of its time that
- * the store answers: it is sent again. A store that is merely slow gets one look where its answers are known
- * to take as long. The silence is noted as one in which entries may have lapsed: an answer to a later sending
- * leaves no failed look as its sign. */
-static void look_at_endpoints_again_(BH__Looks *l, uint64_t now_us)
+/* Sends the endpoints read in progress again if its answer is late. A read that the store or the link has
+ * lost would keep the reader, until its time-out, from noticing that the store answers. A store that is known
+ * to answer slowly gets only one read. The late answer is recorded as evidence of an outage in which entries
+ * may have expired, because an answer to the second sending leaves no failed read behind. */
+static void resend_endpoints_read_(BH__Looks *l, uint64_t now_us)
 {
-	uint64_t wait_us = MAX(AGAIN_US_, bh__answer_time_get_longest_us(&l->answers, ANSWER_UNIT_US_));
+	uint64_t wait_us =
+		MAX(RESEND_US_, bh__answer_time_get_longest_us(&l->store_answer_time, EXPECTED_ANSWER_US_));
 
-	if (!l->sent_us || now_us < l->sent_us + wait_us)
+	if (!l->read_sent_us || now_us < l->read_sent_us + wait_us)
 		return;
-	bh__outage_note_failed(&l->outage, l->sent_us, wait_us, now_us);
-	l->sent_us = 0;
+	bh__outage_note_failed(&l->outage, l->read_sent_us, wait_us, now_us);
+	l->read_sent_us = 0;
 	if (!l->port->look_at_endpoints_again(l->port))
 		return;
-	l->sent_us = now_us;
+	l->read_sent_us = now_us;
 	l->port->said(l->port, BH__LOOKS_LOOKED_AGAIN, bh__members_get_self(l->members)->node_id);
 }
 
-static void ask_(BH__Looks *l, uint64_t now_us)
+/* Asks the source. It may hold the request for one reader's period, for a short time during a search or while
+ * this node lacks state, and not at all after another source was of no use. */
+static void ask_source_(BH__Looks *l, uint64_t now_us)
 {
 	uint64_t hold_us = 0;
 
 	if (bh__source_is_hurried(&l->source, l->members, now_us) ||
-		!l->port->get_configuration(l->port).version || !l->known_us)
-		hold_us = AWAY_HOLD_US_;
-	else if (!l->source.silent && !l->source.stale)
+		!l->port->get_configuration(l->port).version || !l->as_of_us)
+		hold_us = SEARCH_HOLD_US_;
+	else if (!l->source.unresponsive_count && !l->source.stale_count)
 		hold_us = endpoints_period_us_(l) + HOLD_EXTRA_US_;
-	send_question_(l, l->source.node, hold_us, now_us);
+	send_request_(l, l->source.node, hold_us, now_us);
 }
 
-/* Asks a node, which may keep the question for so long. */
-static void send_question_(BH__Looks *l, uint64_t node, uint64_t hold_us, uint64_t now_us)
+/* Sends a request to a node, which may hold it for `hold_us`. */
+static void send_request_(BH__Looks *l, uint64_t node, uint64_t hold_us, uint64_t now_us)
 {
 	BH__Message m = {.type = BH__MESSAGE_LOOK_ASK};
 	uint64_t version = l->port->get_configuration(l->port).version;
 
 	l->asked_us = now_us;
-	l->asks_back = node != l->source.node;
-	l->answer_until_us = now_us + hold_us + ANSWER_US_;
+	l->asks_newer_node = node != l->source.node;
+	l->answer_by_us = now_us + hold_us + ANSWER_TIMEOUT_US_;
 	m.as.look.asked_us = now_us;
 	m.as.look.held_us = hold_us;
 	m.as.look.lost = bh__source_is_platform_away(&l->source);
-	m.as.look.configuration_version = MAX(version, l->refused_version);
+	m.as.look.configuration_version = MAX(version, l->rejected_version);
 	m.as.look.place = bh__registry_get_place(l->registry);
 	m.as.look.era_start = bh__registry_get_era_start(l->registry);
-	m.as.look.registry_age_us = now_us - l->known_us;
-	fill_halls_(l, &m);
+	m.as.look.registry_age_us = now_us - l->as_of_us;
+	add_halls_(l, &m);
 	l->port->send(l->port, node, &m);
 }
 
-/* Adds what is known of halls that drain. It is so little that all of it goes both ways: which of two nodes
- * knows more is not to matter. */
-static void fill_halls_(const BH__Looks *l, BH__Message *m)
+/* Adds all known hall drain states to a message. They are few, so both the request and the answer carry all
+ * of them, and it does not matter which of the two nodes has more. */
+static void add_halls_(const BH__Looks *l, BH__Message *m)
 {
 	m->as.look.hall_count = bh__registry_get_hall_count(l->registry);
 	if (m->as.look.hall_count)
 		m->as.look.hall = (BH__HallDrain *)bh__registry_get_hall(l->registry, 0);
 }
 
-/* Takes what another node knows of halls that drain. */
-static void take_halls_(BH__Looks *l, const BH__Message *m, uint64_t now_us)
+/* Merges the hall drain states of another node into the registry. */
+static void merge_halls_(BH__Looks *l, const BH__Message *m, uint64_t now_us)
 {
-	uint64_t was = bh__registry_get_halls_version(l->registry);
+	uint64_t old_version = bh__registry_get_halls_version(l->registry);
 
 	for (uint32_t i = 0; i < m->as.look.hall_count; i++)
 		bh__registry_put_hall(l->registry, m->as.look.hall[i].name, m->as.look.hall[i].draining,
 							  m->as.look.hall[i].changed, now_us);
-	if (bh__registry_get_halls_version(l->registry) != was)
+	if (bh__registry_get_halls_version(l->registry) != old_version)
 		l->port->learnt(l->port);
 }
 
-/* Another node asks what it does not know. */
+/* Handles the request of another node: answers it if there is an update, or else holds it. */
 void bh__looks_process_ask(BH__Looks *l, const BH__Message *ask, uint64_t now_us)
 {
-	HeldQuestion_ q = {.node = ask->from_node,
-					   .asked_us = ask->as.look.asked_us,
-					   .arrived_us = now_us,
-					   .until_us = now_us + MIN(ask->as.look.held_us, HOLD_MAX_US_),
-					   .configuration_version = ask->as.look.configuration_version,
-					   .place = ask->as.look.place,
-					   .knows_away = ask->as.look.lost,
-					   .known_us = now_us - MIN(now_us, ask->as.look.registry_age_us)};
-
-	take_halls_(l, ask, now_us);
-	q.knows_less_halls =
-		bh__registry_knows_more_of_halls(l->registry, ask->as.look.hall, ask->as.look.hall_count);
+	HeldRequest_ q = {.node = ask->from_node,
+					  .asked_us = ask->as.look.asked_us,
+					  .received_us = now_us,
+					  .answer_by_us = now_us + MIN(ask->as.look.held_us, HOLD_MAX_US_),
+					  .configuration_version = ask->as.look.configuration_version,
+					  .place = ask->as.look.place,
+					  .knows_unavailable = ask->as.look.lost,
+					  .as_of_us = now_us - MIN(now_us, ask->as.look.registry_age_us)};
+
+	merge_halls_(l, ask, now_us);
+	q.lacks_halls = bh__registry_knows_more_of_halls(l->registry, ask->as.look.hall, ask->as.look.hall_count);
 	q.halls_version = bh__registry_get_halls_version(l->registry);
 	for (guint i = l->held->len; i-- > 0;)
-		if (g_array_index(l->held, HeldQuestion_, i).node == q.node)
+		if (g_array_index(l->held, HeldRequest_, i).node == q.node)
 			g_array_remove_index_fast(l->held, i);
-	if (has_news_(l, &q, now_us))
-		answer_(l, &q, now_us);
+	if (has_update_(l, &q, now_us))
+		answer_request_(l, &q, now_us);
 	else
 		g_array_append_val(l->held, q);
-	ask_back_(l, &q, now_us);
+	ask_newer_node_(l, &q, now_us);
 }
 
-/* A node that asks knows a later configuration than this one, which has read the platform: that has gone back
- * to a copy. A reader that had started from the copy let a key work again that had been taken away before. */
-static void ask_back_(BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us)
+/* Asks the asker for its configuration if that is later than this node's. The platform, which this node has
+ * read, was then restored from a backup. Without this, a reader that had started from the backup accepted
+ * a key again that had been revoked before. */
+static void ask_newer_node_(BH__Looks *l, const HeldRequest_ *q, uint64_t now_us)
 {
 	BH__LooksConfiguration c = l->port->get_configuration(l->port);
 
-	if (c.version && q->configuration_version > MAX(c.version, l->refused_version) && !l->asked_us)
-		send_question_(l, q->node, 0, now_us);
+	if (c.version && q->configuration_version > MAX(c.version, l->rejected_version) && !l->asked_us)
+		send_request_(l, q->node, 0, now_us);
 }
 
-/* Returns true if a question is to be answered now. */
-static bool has_news_(const BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us)
+/* Returns true if a request must be answered now: its hold time is over, or there is an update for the asker.
+ */
+static bool has_update_(const BH__Looks *l, const HeldRequest_ *q, uint64_t now_us)
 {
 	BH__LooksConfiguration c = l->port->get_configuration(l->port);
-	bool is_older = l->known_us <= q->known_us;
+	bool is_older = l->as_of_us <= q->as_of_us;
 	bool differs = bh__place_is_after(bh__registry_get_changed_place(l->registry), q->place);
 
-	if (now_us >= q->until_us || c.version > q->configuration_version)
+	if (now_us >= q->answer_by_us || c.version > q->configuration_version)
 		return true;
 	if (bh__registry_get_halls_version(l->registry) != q->halls_version ||
-		(q->knows_less_halls && now_us >= q->arrived_us + HALLS_WAIT_US_))
+		(q->lacks_halls && now_us >= q->received_us + HALLS_DELAY_US_))
 		return true;
-	if (is_lost_(l) && !q->knows_away) /* the asker may find a better one */
+	if (is_reader_out_of_sync_(l) && !q->knows_unavailable) /* the asker may find a better source */
 		return true;
-	return is_fresh_(l, now_us) && !is_older && (differs || l->known_us > q->known_us + YOUNGER_US_);
+	return is_fresh_(l, now_us) && !is_older && (differs || l->as_of_us > q->as_of_us + YOUNGER_MIN_US_);
 }
 
-/* Something has become known: questions that waited for it are answered. */
+/* Handles new state of this node: takes over as the reader if that is due, and answers the held requests for
+ * which there is an update. */
 void bh__looks_process_news(BH__Looks *l, uint64_t now_us)
 {
 	take_over_(l, now_us);
 	for (guint i = l->held->len; i-- > 0;) {
-		HeldQuestion_ q = g_array_index(l->held, HeldQuestion_, i);
-		if (!has_news_(l, &q, now_us))
+		HeldRequest_ q = g_array_index(l->held, HeldRequest_, i);
+		if (!has_update_(l, &q, now_us))
 			continue;
 		g_array_remove_index_fast(l->held, i);
-		answer_(l, &q, now_us);
+		answer_request_(l, &q, now_us);
 	}
 }
 
-static void answer_(BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us)
+/* Answers a request with this node's configuration, endpoints and hall drain states, as far as the asker
+ * lacks them. */
+static void answer_request_(BH__Looks *l, const HeldRequest_ *q, uint64_t now_us)
 {
 	BH__LooksConfiguration c = l->port->get_configuration(l->port);
 	BH__Message m = {.type = BH__MESSAGE_LOOK};
@@ -603,28 +632,28 @@
 	GArray *departures = g_array_new(FALSE, FALSE, sizeof(BH__EndpointDeparture));
 
 	m.as.look.asked_us = q->asked_us;
-	m.as.look.held_us = now_us - q->arrived_us;
+	m.as.look.held_us = now_us - q->received_us;
 	m.as.look.configuration_version = c.version;
 	m.as.look.configuration_age_us = now_us - c.looked_us;
 	if (m.as.look.configuration_version > q->configuration_version)
 		m.as.look.configuration = *packed_configuration_(l, c.version);
 	m.as.look.place = bh__registry_get_place(l->registry);
 	m.as.look.era_start = bh__registry_get_era_start(l->registry);
-	m.as.look.registry_age_us = now_us - l->known_us;
-	m.as.look.reader = l->told_reader ? l->told_reader : bh__members_get_self(l->members)->node_id;
-	m.as.look.lost = is_lost_(l);
+	m.as.look.registry_age_us = now_us - l->as_of_us;
+	m.as.look.reader = l->remote_reader ? l->remote_reader : bh__members_get_self(l->members)->node_id;
+	m.as.look.lost = is_reader_out_of_sync_(l);
 	add_facts_(l, q, now_us, facts, departures, &m.as.look.whole);
 	m.as.look.count = facts->len;
 	m.as.look.fact = (BH__EndpointFact *)(void *)facts->data;
 	m.as.look.gone_count = departures->len;
 	m.as.look.gone = (BH__EndpointDeparture *)(void *)departures->data;
-	fill_halls_(l, &m);
+	add_halls_(l, &m);
 	l->port->send(l->port, q->node, &m);
 	g_array_unref(facts);
 	g_array_unref(departures);
 }
 
-/* Returns the configuration of now, packed once for all who ask. */
+/* Returns the current configuration, packed once for all askers. */
 static const BH__PackedText *packed_configuration_(BH__Looks *l, uint64_t version)
 {
 	if (l->packed_version != version) {
@@ -634,9 +663,9 @@
 	return &l->packed;
 }
 
-/* Adds what the asker of a question does not know of endpoints. A node that knows nothing of them tells
- * nothing. */
-static void add_facts_(const BH__Looks *l, const HeldQuestion_ *q, uint64_t now_us, GArray *facts,
+/* Adds the changes of endpoints that the asker lacks, or the whole table, with `whole` set, if the changes
+ * since the asker's version are no longer known. A node without endpoints adds nothing. */
+static void add_facts_(const BH__Looks *l, const HeldRequest_ *q, uint64_t now_us, GArray *facts,
 					   GArray *departures, bool *whole)
 {
 	const BH__Registry *r = l->registry;
@@ -650,56 +679,60 @@
 		bh__registry_add_fact(r, i, now_us, facts);
 }
 
-/* The source answers. Its ages are taken as counted from the question and the time that it was kept. */
+/* Handles the answer of a source. The ages in it count back from the send time of the request plus the time
+ * for which the source held it. */
 void bh__looks_process_answer(BH__Looks *l, const BH__Message *m, uint64_t now_us)
 {
-	uint64_t seen_us = MIN(m->as.look.asked_us + m->as.look.held_us, now_us);
-	uint64_t registry_us = seen_us - MIN(seen_us, m->as.look.registry_age_us);
+	uint64_t answered_us = MIN(m->as.look.asked_us + m->as.look.held_us, now_us);
+	uint64_t registry_read_us = answered_us - MIN(answered_us, m->as.look.registry_age_us);
 
 	if (!l->asked_us || m->as.look.asked_us != l->asked_us)
 		return;
 	l->asked_us = 0;
-	take_halls_(l, m, now_us);
-	take_configuration_(l, m, seen_us - MIN(seen_us, m->as.look.configuration_age_us));
-	if (l->asks_back)
+	merge_halls_(l, m, now_us);
+	apply_configuration_(l, m, answered_us - MIN(answered_us, m->as.look.configuration_age_us));
+	if (l->asks_newer_node)
 		return;
-	if (m->as.look.lost || !bh__source_is_young(&l->source, m->as.look.registry_age_us, endpoints_old_us_(l),
-												endpoints_period_us_(l))) {
-		note_useless_(l, true, now_us);
+	if (m->as.look.lost || !bh__source_is_young(&l->source, m->as.look.registry_age_us,
+												endpoints_max_age_us_(l), endpoints_period_us_(l))) {
+		skip_source_(l, true, now_us);
 	}
 	else {
 		bh__source_note_useful(&l->source, m->as.look.reader, now_us);
-		take_facts_(l, m, registry_us, now_us);
+		merge_facts_(l, m, registry_read_us, now_us);
 	}
-	follow_source_(l, now_us);
+	update_source_(l, now_us);
 	if (bh__source_asks(&l->source, l->members))
-		ask_(l, now_us);
+		ask_source_(l, now_us);
 }
 
-static void take_configuration_(BH__Looks *l, const BH__Message *m, uint64_t looked_us)
+/* Applies or confirms the configuration in an answer, which a platform read begun at `looked_us` returned. An
+ * invalid one is remembered so that it is not requested again. */
+static void apply_configuration_(BH__Looks *l, const BH__Message *m, uint64_t looked_us)
 {
 	uint64_t version = l->port->get_configuration(l->port).version;
-	uint64_t told_version = m->as.look.configuration_version;
+	uint64_t received_version = m->as.look.configuration_version;
 	char *text;
 
-	if (told_version == version && version)
+	if (received_version == version && version)
 		l->port->confirm_configuration(l->port, looked_us);
-	if (!m->as.look.configuration.len || told_version <= version)
+	if (!m->as.look.configuration.len || received_version <= version)
 		return;
 	text = bh__packed_text_open(&m->as.look.configuration);
-	bh__packed_text_copy(&l->packed, &m->as.look.configuration); /* those who ask this node get it as it is */
-	l->packed_version = told_version;
+	bh__packed_text_copy(&l->packed,
+						 &m->as.look.configuration); /* nodes that ask this one get it unchanged */
+	l->packed_version = received_version;
 	if (!text)
 		l->port->said(l->port, BH__LOOKS_FOUND_DAMAGED, m->from_node);
 	if (!text || !l->port->take_configuration(l->port, text, looked_us))
-		l->refused_version = told_version;
+		l->rejected_version = received_version;
 	g_free(text);
 }
 
-/* Takes what a source tells of endpoints; the look at the platform that it shows was begun at `looked_us`.
- * Only if it comes at least as far in the store's history as this node does, that is what this node knows
- * from now on. */
-static void take_facts_(BH__Looks *l, const BH__Message *m, uint64_t looked_us, uint64_t now_us)
+/* Merges a source's endpoints, which a platform read begun at `looked_us` returned, into the registry. They
+ * count as this node's state as of that read only if the source's store version is not older than this
+ * node's. */
+static void merge_facts_(BH__Looks *l, const BH__Message *m, uint64_t looked_us, uint64_t now_us)
 {
 	BH__Registry *r = l->registry;
 	BH__Place place = m->as.look.place;
@@ -714,20 +747,20 @@
 	for (uint32_t i = 0; i < m->as.look.gone_count; i++)
 		bh__registry_put_departure(r, &m->as.look.gone[i], place);
 	if (m->as.look.whole)
-		keep_only_told_(r, m, now_us);
+		remove_unlisted_(r, m, now_us);
 	bh__registry_set_place(r, place);
 	if (m->as.look.count || m->as.look.gone_count)
 		l->port->was_told(l->port, m, was_count);
 	if (is_behind)
 		return;
-	if (looked_us > l->known_us)
-		l->told_reader = m->as.look.reader;
-	note_known_(l, looked_us);
+	if (looked_us > l->as_of_us)
+		l->remote_reader = m->as.look.reader;
+	note_as_of_(l, looked_us);
 	l->port->learnt(l->port);
 }
 
-/* What a source's whole table does not name was gone as of its place. */
-static void keep_only_told_(BH__Registry *r, const BH__Message *m, uint64_t now_us)
+/* Removes the endpoints that a source's whole table does not list. They are gone as of its store version. */
+static void remove_unlisted_(BH__Registry *r, const BH__Message *m, uint64_t now_us)
 {
 	GHashTable *ids = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 
--- a/src/libbayhoist/source.c
+++ b/src/libbayhoist/source.c
@@ -1,117 +1,123 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The choice of a source of what the platform says. */
+/* Choice of the source of platform state. */
 #include "bayhoist/source.h"
 
 #include <math.h>
 #include <string.h>
 #include "bayhoist/hash.h"
 
-#define KEY_ "platform-reader"
-#define PASS_OVER_US_ (5 * BH__SECOND_US) /* for which a source that was of no use is not asked */
-/* Sources in a row that do not answer, after which a node takes itself for cut off from its peers. */
-#define SILENT_MAX_ 2
-/* Sources in a row that know nothing fresh, after which the platform is taken to be away. All nodes ask the
- * same ones up to here, so that where it turns these away and serves others, all nodes think so. */
+#define READER_KEY_ "platform-reader"
+#define SKIP_US_ (5 * BH__SECOND_US) /* time for which a source that was of no use is not asked */
+/* Number of unresponsive sources in a row after which a node considers itself isolated from its peers. */
+#define UNRESPONSIVE_MAX_ 2
+/* Number of sources without fresh state, since the last useful one, after which the platform counts as
+ * unavailable. Up to this number all nodes ask the same sources. When the platform refuses these nodes and
+ * serves others, all nodes therefore agree that it is unavailable. */
 #define STALE_MAX_ 4
-/* That a reader's look, and its way here, may take beyond its period. */
-#define LOOK_LATE_US_ (250 * BH__MS_US)
-/* For which a node that took over is the reader: then those that come first in rank are asked again. */
-#define TERM_US_ (5 * BH__SECOND_US)
-/* A node of the tree by which a reader is told: its place in the order that all nodes reckon alike. */
+/* Longest time beyond the reader's period that its platform read and the message with the result may take. */
+#define READ_LATE_US_ (250 * BH__MS_US)
+/* Time for which a node that took over is the reader. After it the nodes first in rank are asked again. */
+#define READER_TERM_US_ (5 * BH__SECOND_US)
+/* Node of the tree in which a new reader is announced. All nodes compute the same order by weight. */
 typedef struct {
-	uint64_t weight;
-	uint64_t node;
-} Ordered_;
-
-static uint64_t pick_(const BH__Source *s, const BH__Members *m, uint64_t now_us);
-static bool is_named_usable_(const BH__Source *s, const BH__Members *m, uint64_t now_us);
-static bool is_passed_over_(const BH__Source *s, uint64_t node, uint64_t now_us);
-static uint64_t pick_any_(const BH__Source *s, const BH__Members *m, uint64_t now_us);
-static void name_(BH__Source *s, uint64_t reader, uint64_t via, uint64_t now_us);
+	uint64_t weight; /* position in the tree: descending */
+	uint64_t node;   /* node id */
+} TreeNode_;
+
+static uint64_t pick_source_(const BH__Source *s, const BH__Members *m, uint64_t now_us);
+static bool is_new_reader_usable_(const BH__Source *s, const BH__Members *m, uint64_t now_us);
+static bool is_skipped_(const BH__Source *s, uint64_t node, uint64_t now_us);
+static uint64_t pick_any_usable_(const BH__Source *s, const BH__Members *m, uint64_t now_us);
+static void set_new_reader_(BH__Source *s, uint64_t reader, uint64_t via, uint64_t now_us);
 static bool is_usable_(const BH__Source *s, const BH__Members *m, uint64_t node, uint64_t now_us);
-static gint compare_(gconstpointer a, gconstpointer b);
-static void pass_over_(BH__Source *s, bool silent, uint64_t now_us);
+static gint compare_weight_(gconstpointer a, gconstpointer b);
+static void skip_source_(BH__Source *s, bool unresponsive, uint64_t now_us);
 
-/* Follows membership. Returns true if another source is to be asked than before. */
+/* Updates the choice of source from membership. Returns true if the source has changed. */
 bool bh__source_process_tick(BH__Source *s, const BH__Members *m, uint64_t now_us)
 {
 	uint64_t was = s->node;
 	uint64_t self = bh__members_get_self(m)->node_id;
 
-	if (s->named == self && now_us >= s->named_until_us) { /* it goes on reading until another is found */
-		s->named = 0;
+	/* A reader whose term has ended reads on until it has found another source. */
+	if (s->new_reader == self && now_us >= s->new_reader_until_us) {
+		s->new_reader = 0;
 		s->node = self;
-		pass_over_(s, false, now_us);
+		skip_source_(s, false, now_us);
 	}
-	s->node = pick_(s, m, now_us);
+	s->node = pick_source_(s, m, now_us);
 	return s->node != was;
 }
 
-/* The relay of the hall comes first. A node that is the relay, or whose relay was of no use, asks the reader:
- * the one that took over, or the first in rank. With neither of use it asks any node. */
-static uint64_t pick_(const BH__Source *s, const BH__Members *m, uint64_t now_us)
+/* Returns the node to ask. The hall relay comes first. A node that is the hall relay, or whose hall relay was
+ * of no use, asks the reader: the node that took over, or else the first in rank. If neither is of use, it
+ * asks any node. */
+static uint64_t pick_source_(const BH__Source *s, const BH__Members *m, uint64_t now_us)
 {
 	const BH__MemberInfo *self = bh__members_get_self(m);
-	bool is_named = is_named_usable_(s, m, now_us);
-	uint64_t key = bh__hash_name(KEY_);
-	uint64_t except[BH__SOURCES_MAX];
+	bool has_new_reader = is_new_reader_usable_(s, m, now_us);
+	uint64_t key = bh__hash_name(READER_KEY_);
+	uint64_t skipped[BH__SOURCES_MAX];
 	unsigned count = 0;
 	uint64_t node = 0;
 
-	if (is_named && s->named == self->node_id)
+	if (has_new_reader && s->new_reader == self->node_id)
 		return self->node_id;
-	if (is_named && s->via && is_usable_(s, m, s->via, now_us))
-		return s->via;
+	if (has_new_reader && s->new_reader_via && is_usable_(s, m, s->new_reader_via, now_us))
+		return s->new_reader_via;
 	for (unsigned i = 0; i < BH__SOURCES_MAX; i++)
-		if (now_us < s->passed_over[i].until_us)
-			except[count++] = s->passed_over[i].node;
-	if (!s->silent && !s->stale)
-		node = bh__members_pick_except(m, key, self->hall, except, count);
+		if (now_us < s->skipped[i].until_us)
+			skipped[count++] = s->skipped[i].node;
+	if (!s->unresponsive_count && !s->stale_count)
+		node = bh__members_pick_except(m, key, self->hall, skipped, count);
 	if (node && node != self->node_id)
 		return node;
-	if (is_named)
-		return s->named;
+	if (has_new_reader)
+		return s->new_reader;
 	if (bh__source_is_platform_away(s))
-		return pick_any_(s, m, now_us);
-	node = bh__members_pick_except(m, key, NULL, except, count);
+		return pick_any_usable_(s, m, now_us);
+	node = bh__members_pick_except(m, key, NULL, skipped, count);
 	return node ? node : self->node_id;
 }
 
-/* Returns true if a node has taken over the reading, and may be asked. */
-static bool is_named_usable_(const BH__Source *s, const BH__Members *m, uint64_t now_us)
+/* Returns true if a node has taken over reading the platform, its term has not ended, and it can be asked. */
+static bool is_new_reader_usable_(const BH__Source *s, const BH__Members *m, uint64_t now_us)
 {
-	return s->named && now_us < s->named_until_us && is_usable_(s, m, s->named, now_us);
+	return s->new_reader && now_us < s->new_reader_until_us && is_usable_(s, m, s->new_reader, now_us);
 }
 
+/* Returns true if a node is a usable member and is not skipped. */
 static bool is_usable_(const BH__Source *s, const BH__Members *m, uint64_t node, uint64_t now_us)
 {
 	const BH__MemberInfo *info = bh__members_find(m, node);
 
-	return info && bh__member_is_usable(info) && !is_passed_over_(s, node, now_us);
+	return info && bh__member_is_usable(info) && !is_skipped_(s, node, now_us);
 }
 
-static bool is_passed_over_(const BH__Source *s, uint64_t node, uint64_t now_us)
+/* Returns true if a node is skipped at `now_us`. */
+static bool is_skipped_(const BH__Source *s, uint64_t node, uint64_t now_us)
 {
 	for (unsigned i = 0; i < BH__SOURCES_MAX; i++)
-		if (s->passed_over[i].node == node && now_us < s->passed_over[i].until_us)
+		if (s->skipped[i].node == node && now_us < s->skipped[i].until_us)
 			return true;
 	return false;
 }
 
-/* Returns any other node, another one each time that one was of no use, in an order of this node's own: if
- * all asked the same ones, those that know might never be asked. Where the platform turned away the six that
- * come first in rank, 49 of 85 nodes asked these round and round for 5.5 s. Without others, this node. */
-static uint64_t pick_any_(const BH__Source *s, const BH__Members *m, uint64_t now_us)
+/* Returns some other usable node, or this node if there is none. After each source of no use it returns
+ * another one, in an order that differs by node: if all nodes asked the same ones, the nodes with fresh state
+ * might never be asked. When the platform refused the six nodes first in rank, 49 of 85 nodes asked these in
+ * a cycle for 5.5 s. */
+static uint64_t pick_any_usable_(const BH__Source *s, const BH__Members *m, uint64_t now_us)
 {
 	uint64_t self = bh__members_get_self(m)->node_id;
-	uint64_t key = bh__hash_pair(self, s->stale + s->silent);
+	uint64_t key = bh__hash_pair(self, s->stale_count + s->unresponsive_count);
 	uint64_t best = self;
 	uint64_t best_weight = 0;
 
 	for (unsigned i = 1; i < bh__members_get_count(m); i++) {
 		const BH__MemberInfo *info = bh__members_get(m, i);
 		uint64_t weight = bh__hash_pair(info->node_id, key);
-		if (!bh__member_is_usable(info) || is_passed_over_(s, info->node_id, now_us) || weight <= best_weight)
+		if (!bh__member_is_usable(info) || is_skipped_(s, info->node_id, now_us) || weight <= best_weight)
 			continue;
 		best = info->node_id;
 		best_weight = weight;
@@ -119,170 +125,176 @@
 	return best;
 }
 
-static void pass_over_(BH__Source *s, bool silent, uint64_t now_us)
+/* Skips the current source for SKIP_US_, because it did not answer or has no fresh state. */
+static void skip_source_(BH__Source *s, bool unresponsive, uint64_t now_us)
 {
-	unsigned at = s->next_passed_over++ % BH__SOURCES_MAX;
+	unsigned slot = s->next_skipped++ % BH__SOURCES_MAX;
 
-	s->passed_over[at].node = s->node;
-	s->passed_over[at].until_us = now_us + PASS_OVER_US_;
-	s->passed_over[at].silent = silent;
+	s->skipped[slot].node = s->node;
+	s->skipped[slot].until_us = now_us + SKIP_US_;
+	s->skipped[slot].unresponsive = unresponsive;
 }
 
-/* The source knows what the platform said a moment ago, to `reader`. A node that had to search for it asks
- * that one from now on. */
+/* Records that the source has fresh state, which `reader` has read (0: not known). A node that was searching
+ * for a source asks the reader from now on. */
 void bh__source_note_useful(BH__Source *s, uint64_t reader, uint64_t now_us)
 {
 	if (bh__source_is_platform_away(s) && reader)
-		name_(s, reader, 0, now_us);
-	s->silent = 0;
-	s->stale = 0;
+		set_new_reader_(s, reader, 0, now_us);
+	s->unresponsive_count = 0;
+	s->stale_count = 0;
 }
 
-/* Takes a node for the reader. Those that knew nothing fresh hear from it too, and are asked again. */
-static void name_(BH__Source *s, uint64_t reader, uint64_t via, uint64_t now_us)
+/* Sets the new reader for one term. Sources without fresh state are no longer skipped, because they get state
+ * from that reader too. */
+static void set_new_reader_(BH__Source *s, uint64_t reader, uint64_t via, uint64_t now_us)
 {
 	for (unsigned i = 0; i < BH__SOURCES_MAX; i++)
-		if (!s->passed_over[i].silent)
-			s->passed_over[i].until_us = 0;
-	s->named = reader;
-	s->via = via;
-	s->named_until_us = now_us + TERM_US_;
-	s->silent = 0;
-	s->stale = 0;
+		if (!s->skipped[i].unresponsive)
+			s->skipped[i].until_us = 0;
+	s->new_reader = reader;
+	s->new_reader_via = via;
+	s->new_reader_until_us = now_us + READER_TERM_US_;
+	s->unresponsive_count = 0;
+	s->stale_count = 0;
 }
 
-/* The node `via` says that `reader` has taken over. Returns true if this node believes so: it searches for
- * one that knows, or the other goes before the one that it knows of. */
+/* Handles the notice from node `via` that `reader` has taken over. Returns true if this node accepts it: it
+ * has no usable new reader and a source was stale since the last useful one, or `reader` precedes in rank the
+ * new reader that it knows. */
 bool bh__source_note_reader(BH__Source *s, const BH__Members *m, uint64_t reader, uint64_t via,
 							uint64_t now_us)
 {
-	uint64_t key = bh__hash_name(KEY_);
-	bool is_known = is_named_usable_(s, m, now_us);
+	uint64_t key = bh__hash_name(READER_KEY_);
+	bool knows_reader = is_new_reader_usable_(s, m, now_us);
 
-	if (!is_known && !s->stale)
+	if (!knows_reader && !s->stale_count)
 		return false;
-	if (is_known && bh__hash_pair(s->named, key) >= bh__hash_pair(reader, key))
+	if (knows_reader && bh__hash_pair(s->new_reader, key) >= bh__hash_pair(reader, key))
 		return false;
-	name_(s, reader, via, now_us);
+	set_new_reader_(s, reader, via, now_us);
 	return true;
 }
 
-/* The platform has answered this node. Returns true if it is to read for all from now on, and to say so: it
- * searched in vain for one that does, or it is the reader (`reads`), which the platform had not answered for
- * a while. */
+/* Handles an answer of the platform to this node. Returns true if this node takes over as the reader and must
+ * announce it: it counted the platform as unavailable, or it is the reader (`reads`) and the platform had not
+ * answered it for a while. In both cases no other new reader is usable. */
 bool bh__source_take_over(BH__Source *s, const BH__Members *m, bool reads, uint64_t now_us)
 {
-	if ((!reads && !bh__source_is_platform_away(s)) || is_named_usable_(s, m, now_us))
+	if ((!reads && !bh__source_is_platform_away(s)) || is_new_reader_usable_(s, m, now_us))
 		return false;
-	name_(s, bh__members_get_self(m)->node_id, 0, now_us);
+	set_new_reader_(s, bh__members_get_self(m)->node_id, 0, now_us);
 	return true;
 }
 
-/* Returns how many nodes this one tells of a reader, and lists them: those below it in a tree of all usable
- * nodes, in an order that is drawn from the reader's id. Where the reader told all itself, and was then asked
- * by all, one small VM would have sent 295 nodes the 155 entries that had come back: 11 MB over a link of 20
- * Mbit/s. */
-unsigned bh__source_list_next(const BH__Members *m, uint64_t reader, uint64_t next[BH__SOURCE_NEXT_MAX])
+/* Lists in `child` the nodes that this one notifies of a new reader, and returns their number. They are its
+ * children in a tree of all usable nodes, whose order follows from the reader's id. If the reader notified
+ * all nodes itself and all of them then asked it, one small VM would send 295 nodes the 155 entries that had
+ * come back: 11 MB over a link of 20 Mbit/s. */
+unsigned bh__source_list_next(const BH__Members *m, uint64_t reader, uint64_t child[BH__SOURCE_NEXT_MAX])
 {
-	GArray *order = g_array_new(FALSE, FALSE, sizeof(Ordered_));
+	GArray *nodes = g_array_new(FALSE, FALSE, sizeof(TreeNode_));
 	uint64_t self = bh__members_get_self(m)->node_id;
 	unsigned count = 0;
-	unsigned place = 0;
+	unsigned rank = 0;
 
 	for (unsigned i = 0; i < bh__members_get_count(m); i++) {
 		const BH__MemberInfo *info = bh__members_get(m, i);
-		Ordered_ o = {.weight = bh__hash_pair(info->node_id, reader), .node = info->node_id};
+		TreeNode_ o = {.weight = bh__hash_pair(info->node_id, reader), .node = info->node_id};
 		if (info->node_id == reader)
 			o.weight = UINT64_MAX;
 		if (i == 0 || bh__member_is_usable(info))
-			g_array_append_val(order, o);
+			g_array_append_val(nodes, o);
 	}
-	g_array_sort(order, compare_);
-	while (g_array_index(order, Ordered_, place).node != self)
-		place++;
-	for (unsigned i = place * BH__SOURCE_NEXT_MAX + 1; i <= (place + 1) * BH__SOURCE_NEXT_MAX; i++)
-		if (i < order->len)
-			next[count++] = g_array_index(order, Ordered_, i).node;
-	g_array_unref(order);
+	g_array_sort(nodes, compare_weight_);
+	while (g_array_index(nodes, TreeNode_, rank).node != self)
+		rank++;
+	for (unsigned i = rank * BH__SOURCE_NEXT_MAX + 1; i <= (rank + 1) * BH__SOURCE_NEXT_MAX; i++)
+		if (i < nodes->len)
+			child[count++] = g_array_index(nodes, TreeNode_, i).node;
+	g_array_unref(nodes);
 	return count;
 }
 
-/* The greatest weight comes first. */
-static gint compare_(gconstpointer a, gconstpointer b)
+/* Orders tree nodes by descending weight. */
+static gint compare_weight_(gconstpointer a, gconstpointer b)
 {
-	uint64_t x = ((const Ordered_ *)a)->weight;
-	uint64_t y = ((const Ordered_ *)b)->weight;
+	uint64_t x = ((const TreeNode_ *)a)->weight;
+	uint64_t y = ((const TreeNode_ *)b)->weight;
 
 	return x > y ? -1 : x < y;
 }
 
-/* The source has not answered. */
+/* Records that the source has not answered. */
 void bh__source_note_silent(BH__Source *s, uint64_t now_us)
 {
-	pass_over_(s, true, now_us);
-	s->silent++;
+	skip_source_(s, true, now_us);
+	s->unresponsive_count++;
 }
 
-/* The source has answered that it knows nothing fresh either. */
+/* Records that the source has answered without fresh state. */
 void bh__source_note_stale(BH__Source *s, uint64_t now_us)
 {
-	pass_over_(s, false, now_us);
-	s->stale++;
-	s->silent = 0;
+	skip_source_(s, false, now_us);
+	s->stale_count++;
+	s->unresponsive_count = 0;
 }
 
-/* Returns true if what a source tells is of use, so that it need not be passed over. Usually that is so up to
- * an age of `old_us`. A node that searches for one that reads wants to know that somebody reads now: what was
- * read more than a period ago is of a reader that is lost. Without this, nodes took the lost one for found
- * again and again: 3 s more until all knew what one read (virtual time, 85 nodes, 24 of them cut off). */
-bool bh__source_is_young(const BH__Source *s, uint64_t age_us, uint64_t old_us, uint64_t period_us)
+/* Returns true if the state of a source is young enough that the source need not be skipped. The limit of its
+ * age is `max_age_us`, and about one reader's period (`period_us`) while this node searches for a reader,
+ * because older state comes from a reader that has lost the platform. Without the shorter limit, nodes
+ * repeatedly accepted the lost reader, and it took 3 s longer until all nodes had the state that one node had
+ * read (virtual time, 85 nodes, 24 of them isolated). */
+bool bh__source_is_young(const BH__Source *s, uint64_t age_us, uint64_t max_age_us, uint64_t period_us)
 {
-	return age_us < (bh__source_is_platform_away(s) ? MIN(old_us, period_us + LOOK_LATE_US_) : old_us);
+	return age_us <
+		   (bh__source_is_platform_away(s) ? MIN(max_age_us, period_us + READ_LATE_US_) : max_age_us);
 }
 
-/* Returns true if another node is to be asked. */
+/* Returns true if the source is another node, which this node has to ask. */
 bool bh__source_asks(const BH__Source *s, const BH__Members *m)
 {
 	return s->node != bh__members_get_self(m)->node_id;
 }
 
-/* Returns true if this node reads the platform for others: it is the reader, or was until a moment ago, when
- * it began to ask others since the platform did not answer it. */
+/* Returns true if this node reads the platform for others. It is the reader, or was until it recently skipped
+ * itself because the platform did not answer it. */
 bool bh__source_reads(const BH__Source *s, const BH__Members *m, uint64_t now_us)
 {
 	uint64_t self = bh__members_get_self(m)->node_id;
 
-	return s->node == self || is_passed_over_(s, self, now_us);
+	return s->node == self || is_skipped_(s, self, now_us);
 }
 
-/* Returns true if no peer answers: the node has to see for itself. */
+/* Returns true if no peer answers, so that this node has to read the platform itself. */
 bool bh__source_is_cut_off(const BH__Source *s)
 {
-	return s->silent >= SILENT_MAX_;
+	return s->unresponsive_count >= UNRESPONSIVE_MAX_;
 }
 
-/* Returns true if peers answer, and none of them reaches the platform. */
+/* Returns true if peers answer and none of them has fresh state from the platform. */
 bool bh__source_is_platform_away(const BH__Source *s)
 {
-	return s->stale >= STALE_MAX_;
+	return s->stale_count >= STALE_MAX_;
 }
 
-/* Returns true if a question is not to be kept for long: the node searches, or has just found one that reads,
- * of which the relay that it asks may never hear since it is cut off. */
+/* Returns true if a source must not hold a request for long: this node searches for a reader, or has just
+ * found a new one. The hall relay that it asks may be isolated and never be notified of that reader. */
 bool bh__source_is_hurried(const BH__Source *s, const BH__Members *m, uint64_t now_us)
 {
-	return bh__source_is_platform_away(s) || is_named_usable_(s, m, now_us);
+	return bh__source_is_platform_away(s) || is_new_reader_usable_(s, m, now_us);
 }
 
-/* Returns the time until a node looks for itself while the platform is away, drawn so that all nodes together
- * make `looks_per_s` at any moment (exponentially; with even draws they made half as many in the first minute
- * of 300 nodes). `draw` is another number each time. Where nodes took turns by a number drawn once, from
- * their starts, 295 nodes that had started within a millisecond all had the same turn in a cycle of 74 s: the
- * platform was back, and nobody saw it for half a minute. */
-uint64_t bh__source_get_look_wait_us(const BH__Members *m, double looks_per_s, uint64_t draw)
+/* Returns the time in microseconds until a node's own next platform read while the platform is unavailable.
+ * It is drawn from an exponential distribution, so that all nodes together send `reads_per_s` reads at any
+ * time. With a uniform distribution, 300 nodes sent half as many in the first minute. `draw` is the random
+ * number to use, a new one for each call. When nodes took turns by a number drawn once, from the time of
+ * their start, 295 nodes that had started within a millisecond all had the same turn in a cycle of 74 s, and
+ * no node noticed for half a minute that the platform was back. */
+uint64_t bh__source_get_look_wait_us(const BH__Members *m, double reads_per_s, uint64_t draw)
 {
-	double mean_us = (double)bh__members_get_count(m) * (double)BH__SECOND_US / looks_per_s;
-	double even = ((double)(draw >> 32) + 1) / ((double)UINT32_MAX + 1);
+	double mean_us = (double)bh__members_get_count(m) * (double)BH__SECOND_US / reads_per_s;
+	double uniform = ((double)(draw >> 32) + 1) / ((double)UINT32_MAX + 1);
 
-	return (uint64_t)(-log(even) * mean_us);
+	return (uint64_t)(-log(uniform) * mean_us);
 }
--- a/src/test_libbayhoist/test_source.c
+++ b/src/test_libbayhoist/test_source.c
@@ -1,6 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Where nodes learn what the platform says, with hundreds of them in five data halls: who asks whom, what
- * becomes of it when the platform is away or turns some away, and how much is read of it. */
+/* Choice of sync sources in a fleet of hundreds of nodes in five data halls: which node asks which, how the
+ * choice changes when the platform is unavailable or refuses some nodes, and how often the platform is read.
+ */
 #include <glib.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -18,8 +19,8 @@
 #define PERIOD_US BH__SECOND_US
 #define OUTAGE_MS 8000
 #define STEP_MS 10
-#define LOOKS_PER_S 10 /* of all nodes together while the platform is away */
-#define HOLD_MS 500    /* that a source keeps a question while the platform is away */
+#define READS_PER_S 10 /* of all nodes together while the platform is unavailable */
+#define HOLD_MS 500    /* time for which a source holds a request while the platform is unavailable */
 
 typedef struct {
 	BH__Members *members[NODES];
@@ -27,6 +28,7 @@
 	uint64_t id[NODES];
 } Fleet;
 
+/* Returns the member description of node `i`; every third node has a larger capacity. */
 static BH__MemberInfo describe_(unsigned i)
 {
 	BH__MemberInfo info = {.boot_id = 1, .capacity = i % 3 ? 100 : 500};
@@ -37,7 +39,7 @@
 	return info;
 }
 
-/* Returns the table of node `i` of `count`, which knows every other. */
+/* Returns the member table of node `i` of `count`, with all other nodes in it. */
 static BH__Members *table_new_(unsigned i, unsigned count)
 {
 	BH__MemberInfo self = describe_(i);
@@ -51,7 +53,7 @@
 	return m;
 }
 
-/* Every node knows every other, and follows its source. */
+/* Sets up a fleet in which every node has all others as members and has chosen its source. */
 static void fleet_init_(Fleet *f)
 {
 	memset(f, 0, sizeof *f);
@@ -77,8 +79,9 @@
 	return i;
 }
 
-/* One node reads the platform, and none answers more than its hall and one node of each other. */
-static void nobody_answers_all_(void **state)
+/* One node reads the platform, and no node answers more than the nodes of its hall and one node per other
+ * hall. */
+static void test_few_askers_per_node_(void **state)
 {
 	static Fleet f;
 	unsigned askers[NODES] = {0};
@@ -97,34 +100,35 @@
 	fleet_finish_(&f);
 }
 
-/* Returns a random time until a node looks for itself. */
-static uint64_t wait_us_(const BH__Members *m, double looks_per_s, uint64_t id, uint64_t at)
+/* Returns a random time until a node's own next platform read. */
+static uint64_t read_delay_us_(const BH__Members *m, double reads_per_s, uint64_t id, uint64_t nonce)
 {
-	return bh__source_get_look_wait_us(m, looks_per_s, bh__hash_pair(id, at));
+	return bh__source_get_look_wait_us(m, reads_per_s, bh__hash_pair(id, nonce));
 }
 
-/* Returns the looks of an outage where there are so many nodes: 1 in 100 of the reads that the stores bear
- * which stand behind 9, 85 and 295 nodes; or as many as TEST_LOOKS_PER_S in the environment says. With 10, as
- * first asked, the nodes are known not to be found in time. */
-static double looks_per_s_(unsigned nodes)
+/* Returns the platform reads per second of a fleet of `nodes` nodes during an outage: 1 in 100 of the reads
+ * that the stores behind 9, 85 and 295 nodes can serve, or the value of TEST_LOOKS_PER_S in the environment.
+ * With 10 in all, the served nodes are known not to be found in time. */
+static double reads_per_s_(unsigned nodes)
 {
-	const char *asked = g_getenv("TEST_LOOKS_PER_S");
+	const char *override = g_getenv("TEST_LOOKS_PER_S");
 
-	if (asked)
-		return g_ascii_strtod(asked, NULL);
+	if (override)
+		return g_ascii_strtod(override, NULL);
 	if (nodes < 50)
 		return 20;
 	return nodes < 150 ? 60 : 160;
 }
 
-/* While the platform is away for all, every node hears from a few others that they know nothing fresh. The
- * nodes together look some ten times a second, and not each for itself. */
-static void an_outage_is_not_answered_with_looks_(void **state)
+/* While the platform is unavailable to all, a few other nodes answer each node that they have no fresh state.
+ * All nodes together then read the platform about ten times a second, instead of each node at its own period.
+ */
+static void test_platform_reads_are_bounded_in_outage_(void **state)
 {
 	static Fleet f;
-	uint64_t next_look_us[NODES] = {0};
+	uint64_t next_read_us[NODES] = {0};
 	uint64_t next_answer_us[NODES] = {0};
-	unsigned looks = 0;
+	unsigned reads_total = 0;
 
 	(void)state;
 	fleet_init_(&f);
@@ -132,51 +136,51 @@
 		uint64_t now_us = START_US + ms * BH__MS_US;
 		for (unsigned i = 0; i < NODES; i++) {
 			BH__Source *s = &f.source[i];
-			bool away = bh__source_is_platform_away(s);
+			bool unavailable = bh__source_is_platform_away(s);
 			bool reads;
 			bh__source_process_tick(s, f.members[i], now_us);
-			if (now_us >= next_answer_us[i]) { /* the reader finds so of itself */
+			if (now_us >= next_answer_us[i]) { /* the reader itself is stale, too */
 				bh__source_note_stale(s, now_us);
-				next_answer_us[i] = now_us + (away ? HOLD_MS * BH__MS_US : 0);
+				next_answer_us[i] = now_us + (unavailable ? HOLD_MS * BH__MS_US : 0);
 			}
 			assert_false(bh__source_is_cut_off(s));
 			reads = bh__source_reads(s, f.members[i], now_us);
 			if (!reads && !bh__source_is_platform_away(s))
 				continue;
-			if (!next_look_us[i] && !reads)
-				next_look_us[i] = now_us + wait_us_(f.members[i], LOOKS_PER_S, f.id[i], ms);
-			if (now_us < next_look_us[i])
+			if (!next_read_us[i] && !reads)
+				next_read_us[i] = now_us + read_delay_us_(f.members[i], READS_PER_S, f.id[i], ms);
+			if (now_us < next_read_us[i])
 				continue;
-			next_look_us[i] = now_us + (reads ? PERIOD_US : wait_us_(f.members[i], LOOKS_PER_S, f.id[i], ms));
-			looks++;
+			next_read_us[i] =
+				now_us + (reads ? PERIOD_US : read_delay_us_(f.members[i], READS_PER_S, f.id[i], ms));
+			reads_total++;
 		}
 	}
-	assert_true(looks <= (OUTAGE_MS / 1000 + 1) * 12);
+	assert_true(reads_total <= (OUTAGE_MS / 1000 + 1) * 12);
 	fleet_finish_(&f);
 }
 
-/* Where the platform turns the reader and the next in rank away, every node has found one that it serves
- * after a few questions, and asks its relay again later. */
-static void readers_that_are_turned_away_are_left_(void **state)
+/* When the platform refuses the reader and the next node in rank, every node finds a served node after a few
+ * requests, and asks its hall relay again later. */
+static void test_refused_readers_are_skipped_(void **state)
 {
 	static Fleet f;
-	uint64_t turned_away[2];
+	uint64_t refused[2];
 
 	(void)state;
 	fleet_init_(&f);
-	turned_away[0] = bh__members_pick_except(f.members[0], bh__hash_name("platform-reader"), NULL, NULL, 0);
-	turned_away[1] =
-		bh__members_pick_except(f.members[0], bh__hash_name("platform-reader"), NULL, turned_away, 1);
+	refused[0] = bh__members_pick_except(f.members[0], bh__hash_name("platform-reader"), NULL, NULL, 0);
+	refused[1] = bh__members_pick_except(f.members[0], bh__hash_name("platform-reader"), NULL, refused, 1);
 	for (unsigned i = 0; i < NODES; i++) {
 		BH__Source *s = &f.source[i];
 		uint64_t relay = s->node;
-		unsigned asked = 0;
-		while (s->node == relay || s->node == turned_away[0] || s->node == turned_away[1]) {
+		unsigned asked_count = 0;
+		while (s->node == relay || s->node == refused[0] || s->node == refused[1]) {
 			bh__source_note_stale(s, START_US);
 			bh__source_process_tick(s, f.members[i], START_US);
-			asked++;
+			asked_count++;
 		}
-		assert_true(asked <= 3);
+		assert_true(asked_count <= 3);
 		assert_false(bh__source_is_platform_away(s));
 		bh__source_note_useful(s, relay, START_US);
 		bh__source_process_tick(s, f.members[i], START_US + 6 * BH__SECOND_US);
@@ -185,8 +189,9 @@
 	fleet_finish_(&f);
 }
 
-/* A node that no peer answers sees for itself, at its own pace. */
-static void a_node_that_is_cut_off_sees_for_itself_(void **state)
+/* A node counts as isolated, and therefore reads the platform itself, once two peers in a row have not
+ * answered. One unresponsive peer only makes it ask another one. */
+static void test_isolation_after_unresponsive_sources_(void **state)
 {
 	static Fleet f;
 	BH__Source *s = &f.source[7];
@@ -204,42 +209,43 @@
 	fleet_finish_(&f);
 }
 
-/* A fleet of which the platform serves only some, played in steps of a few milliseconds: each node asks its
- * source and reads the platform as the gateway does. */
-#define PLAY_NODES_MAX 295
-#define PLAY_STEP_MS 5     /* also what a message takes */
-#define PLAY_OLD_MS 1950   /* from which age on a source is of no use */
-#define PLAY_HOLD_MS 250   /* that a source keeps a question while the platform is away */
-#define PLAY_ANSWER_MS 300 /* for an answer, beside the time that a question is kept */
-#define PLAY_TICK_MS 100   /* between looks at membership */
-#define PLAY_MS 4500
+/* Simulation of a fleet of which the platform serves only some nodes, in steps of a few milliseconds. Each
+ * node asks its source and reads the platform as the gateway does. */
+#define SIM_NODES_MAX 295
+#define SIM_STEP_MS 5       /* time step, and transit time of a message */
+#define SIM_MAX_AGE_MS 1950 /* age of a source's state at which the source is of no use */
+#define SIM_HOLD_MS 250     /* time for which a source holds a request while the platform is unavailable */
+#define SIM_ANSWER_MS 300   /* time-out of a request beyond its hold time */
+#define SIM_TICK_MS 100     /* period at which the source is chosen from membership */
+#define SIM_MS 4500         /* duration of the simulation */
 
 typedef struct {
 	BH__Members *members;
 	BH__Source source;
 	uint64_t id;
-	uint64_t knows_us;  /* of when its knowledge is */
-	uint64_t reader;    /* whose look that was */
-	uint64_t look_us;   /* when it looks next as the reader */
-	uint64_t own_us;    /* when it looks next for itself */
-	uint64_t asked_us;  /* 0: it has no question out */
-	uint64_t answer_us; /* when a question that is kept is answered, news or not */
-	bool turned_away;
-	bool cut; /* from the platform and from all nodes */
-	bool was_away;
-	bool lost;    /* it reads for others, and its last look failed */
-	bool follows; /* its source is to be chosen anew */
-} PlayNode;
+	uint64_t as_of_us;         /* start time of the platform read whose state the node holds */
+	uint64_t reader;           /* node that made that read */
+	uint64_t next_read_us;     /* time of its next read as the reader */
+	uint64_t next_own_read_us; /* time of its next own read while the platform is unavailable */
+	uint64_t asked_us;         /* when it sent its open request; 0: it has none */
+	uint64_t answer_by_us;     /* time by which a held request is answered, with an update or without */
+	bool refused;              /* the platform refuses its reads */
+	bool isolated;             /* isolated from the platform and from all nodes */
+	bool was_unavailable;      /* the platform counted as unavailable in the last step */
+	bool out_of_sync;          /* it reads for others, and its last read failed */
+	bool repick_source;        /* its source is chosen anew in the next step */
+} SimNode;
 
 typedef struct {
-	PlayNode node[PLAY_NODES_MAX];
+	SimNode node[SIM_NODES_MAX];
 	unsigned count;
-	unsigned looks;
-	unsigned questions;
-	unsigned news; /* messages that say who reads */
-} Play;
+	unsigned read_count;    /* platform reads */
+	unsigned request_count; /* requests to sources */
+	unsigned notice_count;  /* notices of a new reader */
+} Sim;
 
-static PlayNode *play_find_(Play *p, uint64_t id)
+/* Returns the node with an id, or NULL. */
+static SimNode *sim_find_(Sim *p, uint64_t id)
 {
 	for (unsigned i = 0; i < p->count; i++)
 		if (p->node[i].id == id)
@@ -247,208 +253,217 @@
 	return NULL;
 }
 
-/* Every node knows every other, and what the platform said when the play begins. */
-static void play_init_(Play *p, unsigned count)
+/* Sets up a fleet in which every node has all others as members and holds the state of the platform from up
+ * to one period before the start. */
+static void sim_init_(Sim *p, unsigned count)
 {
 	memset(p, 0, sizeof *p);
 	p->count = count;
 	for (unsigned i = 0; i < count; i++) {
 		p->node[i].members = table_new_(i, count);
 		p->node[i].id = bh__members_get_self(p->node[i].members)->node_id;
-		p->node[i].knows_us = START_US - (i % 4) * (PERIOD_US / 4);
+		p->node[i].as_of_us = START_US - (i % 4) * (PERIOD_US / 4);
 		p->node[i].reader =
 			bh__members_pick_except(p->node[i].members, bh__hash_name("platform-reader"), NULL, NULL, 0);
 		bh__source_process_tick(&p->node[i].source, p->node[i].members, START_US);
 	}
 }
 
-static void play_finish_(Play *p)
+static void sim_finish_(Sim *p)
 {
 	for (unsigned i = 0; i < p->count; i++)
 		bh__members_delete(p->node[i].members);
 }
 
-static bool play_is_fresh_(const PlayNode *n, uint64_t now_us)
+/* Returns true if the node's state is young enough for others. */
+static bool sim_is_fresh_(const SimNode *n, uint64_t now_us)
 {
-	return !n->lost && now_us < n->knows_us + PLAY_OLD_MS * BH__MS_US;
+	return !n->out_of_sync && now_us < n->as_of_us + SIM_MAX_AGE_MS * BH__MS_US;
 }
 
-/* The node asks another one now. */
-static void play_follow_(PlayNode *n)
+/* Drops the node's open request and has its source chosen anew. */
+static void sim_repick_source_(SimNode *n)
 {
 	n->asked_us = 0;
-	n->follows = true;
+	n->repick_source = true;
 }
 
-/* A look at the platform, answered at once or refused; one that took over says so to all. */
-static void play_look_(Play *p, PlayNode *n, uint64_t now_us)
+/* Reads the platform, which answers or refuses at once. A node that takes over notifies all others. */
+static void sim_read_platform_(Sim *p, SimNode *n, uint64_t now_us)
 {
-	p->looks++;
-	n->lost = n->turned_away && bh__source_reads(&n->source, n->members, now_us);
-	if (n->turned_away)
+	p->read_count++;
+	n->out_of_sync = n->refused && bh__source_reads(&n->source, n->members, now_us);
+	if (n->refused)
 		return;
-	n->knows_us = now_us;
+	n->as_of_us = now_us;
 	n->reader = n->id;
 	if (!bh__source_take_over(&n->source, n->members, false, now_us))
 		return;
 	for (unsigned i = 0; i < p->count; i++) {
-		PlayNode *other = &p->node[i];
-		p->news += other != n;
+		SimNode *other = &p->node[i];
+		p->notice_count += other != n;
 		if (other != n && bh__source_note_reader(&other->source, other->members, n->id, 0, now_us))
-			play_follow_(other);
+			sim_repick_source_(other);
 	}
 }
 
-/* The question that is out is answered, or kept. */
-static void play_answer_(Play *p, PlayNode *n, uint64_t now_us)
+/* Answers the open request, or holds it. */
+static void sim_answer_(Sim *p, SimNode *n, uint64_t now_us)
 {
-	const PlayNode *from = play_find_(p, n->source.node);
-	bool has_news = play_is_fresh_(from, now_us) && from->knows_us > n->knows_us;
+	const SimNode *from = sim_find_(p, n->source.node);
+	bool has_update = sim_is_fresh_(from, now_us) && from->as_of_us > n->as_of_us;
 
-	if (n->cut || from->cut) {
-		if (now_us < MAX(n->answer_us, n->asked_us) + PLAY_ANSWER_MS * BH__MS_US)
+	if (n->isolated || from->isolated) {
+		if (now_us < MAX(n->answer_by_us, n->asked_us) + SIM_ANSWER_MS * BH__MS_US)
 			return;
-		play_follow_(n);
+		sim_repick_source_(n);
 		bh__source_note_silent(&n->source, now_us);
 		return;
 	}
-	if (now_us < n->asked_us + 2 * PLAY_STEP_MS * BH__MS_US ||
-		(!has_news && now_us < n->answer_us && !(from->lost && !bh__source_is_platform_away(&n->source))))
+	if (now_us < n->asked_us + 2 * SIM_STEP_MS * BH__MS_US ||
+		(!has_update && now_us < n->answer_by_us &&
+		 !(from->out_of_sync && !bh__source_is_platform_away(&n->source))))
 		return;
-	play_follow_(n);
-	if (!play_is_fresh_(from, now_us) ||
-		!bh__source_is_young(&n->source, now_us - from->knows_us, PLAY_OLD_MS * BH__MS_US, PERIOD_US)) {
+	sim_repick_source_(n);
+	if (!sim_is_fresh_(from, now_us) ||
+		!bh__source_is_young(&n->source, now_us - from->as_of_us, SIM_MAX_AGE_MS * BH__MS_US, PERIOD_US)) {
 		bh__source_note_stale(&n->source, now_us);
 		return;
 	}
 	bh__source_note_useful(&n->source, from->reader, now_us);
-	if (!has_news)
+	if (!has_update)
 		return;
-	n->knows_us = from->knows_us;
+	n->as_of_us = from->as_of_us;
 	n->reader = from->reader;
 }
 
-static void play_step_(Play *p, PlayNode *n, uint64_t now_us)
+/* Runs one step of a node: chooses its source, reads the platform if that is due, and sends or answers its
+ * request. */
+static void sim_step_(Sim *p, SimNode *n, uint64_t now_us)
 {
 	BH__Source *s = &n->source;
 	bool reads;
 
-	if (n->follows || now_us % (PLAY_TICK_MS * BH__MS_US) == 0)
+	if (n->repick_source || now_us % (SIM_TICK_MS * BH__MS_US) == 0)
 		n->asked_us = bh__source_process_tick(s, n->members, now_us) ? 0 : n->asked_us;
-	n->follows = false;
+	n->repick_source = false;
 	reads = bh__source_reads(s, n->members, now_us);
-	n->lost = n->lost && reads;
-	if (reads && now_us >= n->look_us) {
-		n->look_us = now_us + PERIOD_US;
-		play_look_(p, n, now_us);
-		if (n->lost && !bh__source_asks(s, n->members)) {
+	n->out_of_sync = n->out_of_sync && reads;
+	if (reads && now_us >= n->next_read_us) {
+		n->next_read_us = now_us + PERIOD_US;
+		sim_read_platform_(p, n, now_us);
+		if (n->out_of_sync && !bh__source_asks(s, n->members)) {
 			bh__source_note_stale(s, now_us);
 			bh__source_process_tick(s, n->members, now_us);
 		}
 	}
-	if (bh__source_is_platform_away(s) && !n->was_away)
-		n->own_us = now_us + wait_us_(n->members, looks_per_s_(p->count), n->id, now_us);
-	n->was_away = bh__source_is_platform_away(s);
-	if (bh__source_is_cut_off(s) && !reads && !play_is_fresh_(n, now_us) && now_us >= n->look_us) {
-		n->look_us = now_us + PERIOD_US;
-		play_look_(p, n, now_us);
+	if (bh__source_is_platform_away(s) && !n->was_unavailable)
+		n->next_own_read_us = now_us + read_delay_us_(n->members, reads_per_s_(p->count), n->id, now_us);
+	n->was_unavailable = bh__source_is_platform_away(s);
+	if (bh__source_is_cut_off(s) && !reads && !sim_is_fresh_(n, now_us) && now_us >= n->next_read_us) {
+		n->next_read_us = now_us + PERIOD_US;
+		sim_read_platform_(p, n, now_us);
 	}
-	if (n->was_away && !reads && now_us >= n->own_us) {
-		n->own_us = now_us + wait_us_(n->members, looks_per_s_(p->count), n->id, now_us);
-		play_look_(p, n, now_us);
+	if (n->was_unavailable && !reads && now_us >= n->next_own_read_us) {
+		n->next_own_read_us = now_us + read_delay_us_(n->members, reads_per_s_(p->count), n->id, now_us);
+		sim_read_platform_(p, n, now_us);
 	}
 	if (!bh__source_asks(s, n->members))
 		return;
 	if (n->asked_us) {
-		play_answer_(p, n, now_us);
+		sim_answer_(p, n, now_us);
 	}
 	else {
-		p->questions++;
+		p->request_count++;
 		n->asked_us = now_us;
-		n->answer_us =
-			now_us + (bh__source_is_hurried(s, n->members, now_us) ? PLAY_HOLD_MS * BH__MS_US : PERIOD_US);
-		if (s->stale && !n->was_away)
-			n->answer_us = now_us;
+		n->answer_by_us =
+			now_us + (bh__source_is_hurried(s, n->members, now_us) ? SIM_HOLD_MS * BH__MS_US : PERIOD_US);
+		if (s->stale_count && !n->was_unavailable)
+			n->answer_by_us = now_us;
 	}
 }
 
-/* Turns away the first `count` nodes in rank. */
-static void play_turn_away_(Play *p, unsigned count)
+/* Makes the platform refuse the first `count` nodes in rank. */
+static void sim_refuse_(Sim *p, unsigned count)
 {
-	uint64_t turned_away[PLAY_NODES_MAX];
+	uint64_t refused[SIM_NODES_MAX];
 
 	for (unsigned done = 0; done < count; done++) {
-		turned_away[done] = bh__members_pick_except(p->node[0].members, bh__hash_name("platform-reader"),
-													NULL, turned_away, done);
-		play_find_(p, turned_away[done])->turned_away = true;
+		refused[done] = bh__members_pick_except(p->node[0].members, bh__hash_name("platform-reader"), NULL,
+												refused, done);
+		sim_find_(p, refused[done])->refused = true;
 	}
 }
 
-/* Cuts `count` nodes off, the last of the table. */
-static void play_cut_(Play *p, unsigned count)
+/* Isolates the last `count` nodes of the table. */
+static void sim_isolate_(Sim *p, unsigned count)
 {
 	for (unsigned i = p->count - count; i < p->count; i++) {
-		p->node[i].cut = true;
-		p->node[i].turned_away = true;
+		p->node[i].isolated = true;
+		p->node[i].refused = true;
 	}
 }
 
-/* Plays a fleet of which the platform turns away the first in rank from now on. Returns the oldest age of
- * what a node knows from `from_ms` on, in ms. */
-static uint64_t play_oldest_ms_(unsigned nodes, unsigned turned_away, unsigned cut, uint64_t from_ms, Play *p)
+/* Simulates a fleet of `nodes` nodes of which the platform refuses the first `refused` in rank, and of which
+ * `isolated` nodes are isolated. Returns the greatest age, in ms, of the state of any node that is not
+ * isolated, from `from_ms` after the start on. */
+static uint64_t sim_max_age_ms_(unsigned nodes, unsigned refused, unsigned isolated, uint64_t from_ms, Sim *p)
 {
-	uint64_t oldest_ms = 0;
+	uint64_t max_age_ms = 0;
 
-	play_init_(p, nodes);
-	play_turn_away_(p, turned_away);
-	play_cut_(p, cut);
-	for (uint64_t ms = 0; ms < PLAY_MS; ms += PLAY_STEP_MS) {
+	sim_init_(p, nodes);
+	sim_refuse_(p, refused);
+	sim_isolate_(p, isolated);
+	for (uint64_t ms = 0; ms < SIM_MS; ms += SIM_STEP_MS) {
 		uint64_t now_us = START_US + ms * BH__MS_US;
 		for (unsigned i = 0; i < p->count; i++)
-			play_step_(p, &p->node[i], now_us);
+			sim_step_(p, &p->node[i], now_us);
 		if (ms < from_ms)
 			continue;
 		for (unsigned i = 0; i < p->count; i++)
-			if (!p->node[i].cut)
-				oldest_ms = MAX(oldest_ms, (now_us - p->node[i].knows_us) / BH__MS_US);
+			if (!p->node[i].isolated)
+				max_age_ms = MAX(max_age_ms, (now_us - p->node[i].as_of_us) / BH__MS_US);
 	}
-	print_message("%u nodes, %u turned away, %u cut off: oldest %u ms, %u looks, %u questions, %u messages "
-				  "of readers\n",
-				  nodes, turned_away, cut, (unsigned)oldest_ms, p->looks, p->questions, p->news);
-	play_finish_(p);
-	return oldest_ms;
+	print_message("%u nodes, %u refused, %u isolated: oldest state %u ms, %u platform reads, %u requests, "
+				  "%u reader notices\n",
+				  nodes, refused, isolated, (unsigned)max_age_ms, p->read_count, p->request_count,
+				  p->notice_count);
+	sim_finish_(p);
+	return max_age_ms;
 }
 
-/* Whichever nodes the platform turns away, also those that come first in rank, all others learn from the ones
- * that it serves, and the fleet looks a bounded number of times. */
-static void those_that_are_served_are_found_(void **state)
+/* Whichever nodes the platform refuses, even those first in rank, all other nodes get state from the served
+ * nodes, and the number of platform reads stays bounded. */
+static void test_served_nodes_are_found_by_all_(void **state)
 {
-	static Play p;
+	static Sim p;
 	const struct {
 		unsigned nodes;
-		unsigned away;
-		unsigned cut;
-		unsigned within_ms; /* after the fleet has found the platform away */
+		unsigned refused;
+		unsigned isolated;
+		unsigned within_ms; /* time until all served nodes have fresh state, once the platform counts as
+							   unavailable */
 	} cases[] = {{9, 6, 0, 1000},   {85, 6, 0, 1000},   {85, 12, 0, 1000},   {85, 75, 0, 1000},
 				 {85, 6, 24, 1500}, {295, 12, 0, 1000}, {295, 12, 90, 1500}, {295, 285, 0, 1500}};
 
 	(void)state;
 	for (unsigned i = 0; i < G_N_ELEMENTS(cases); i++) {
-		uint64_t most_ms = PLAY_OLD_MS + cases[i].within_ms;
-		assert_true(play_oldest_ms_(cases[i].nodes, cases[i].away, cases[i].cut, most_ms, &p) <= most_ms);
-		assert_true(p.looks <= 120 + 3 * cases[i].cut); /* who is cut off sees for itself */
-		assert_true(p.questions <= cases[i].nodes * PLAY_MS / 150);
+		uint64_t max_age_ms = SIM_MAX_AGE_MS + cases[i].within_ms;
+		assert_true(sim_max_age_ms_(cases[i].nodes, cases[i].refused, cases[i].isolated, max_age_ms, &p) <=
+					max_age_ms);
+		assert_true(p.read_count <= 120 + 3 * cases[i].isolated); /* isolated nodes read for themselves */
+		assert_true(p.request_count <= cases[i].nodes * SIM_MS / 150);
 	}
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(nobody_answers_all_),
-		cmocka_unit_test(an_outage_is_not_answered_with_looks_),
-		cmocka_unit_test(readers_that_are_turned_away_are_left_),
-		cmocka_unit_test(a_node_that_is_cut_off_sees_for_itself_),
-		cmocka_unit_test(those_that_are_served_are_found_),
+		cmocka_unit_test(test_few_askers_per_node_),
+		cmocka_unit_test(test_platform_reads_are_bounded_in_outage_),
+		cmocka_unit_test(test_refused_readers_are_skipped_),
+		cmocka_unit_test(test_isolation_after_unresponsive_sources_),
+		cmocka_unit_test(test_served_nodes_are_found_by_all_),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
