--- a/include/bayhoist/message.h
+++ b/include/bayhoist/message.h
@@ -280,11 +280,11 @@
 			uint64_t hold_time_us;
 			uint64_t configuration_version;
 			uint64_t configuration_age_us;
-			BH__PackedText configuration; /* as read from the platform, if newer than the requester's */
-			BH__Place place;              /* store version up to which all endpoint changes are known */
+			BH__PackedText configuration;   /* as read from the platform, if newer than the requester's */
+			BH__StoreVersion store_version; /* store version up to which all endpoint changes are known */
 			/* store version at which the era of `place` began; the zero version if the sender did not see it
 			 * begin */
-			BH__Place era_start;
+			BH__StoreVersion era_start;
 			uint64_t registry_age_us;
 			uint64_t reader; /* in a response: the node whose platform read the registry reflects */
 			/* in a request: the requester knows that the platform is unavailable; in a response: the platform
--- a/include/bayhoist/registry.h
+++ b/include/bayhoist/registry.h
@@ -8,7 +8,7 @@
 
 #include <glib.h>
 #include "bayhoist/endpoint_rate.h"
-#include "bayhoist/place.h"
+#include "bayhoist/store_version.h"
 #include "bayhoist/types.h"
 
 #define BH__TRIED_MAX 4  /* endpoints that one request keeps away from */
@@ -38,9 +38,9 @@
 /* What is kept of an endpoint for good. Each field only grows, so that news may come in any order and more
  * than once. */
 typedef struct {
-	BH__Place gone;           /* latest place as of which its entry was gone; the start: never */
+	BH__StoreVersion gone;    /* latest place as of which its entry was gone; the start: never */
 	uint64_t born_ms;         /* its latest start */
-	BH__Place listed;         /* where that start last wrote its entry, as far as is known */
+	BH__StoreVersion listed;  /* where that start last wrote its entry, as far as is known */
 	bool drained;             /* some start has said that it leaves */
 	uint64_t drained_born_ms; /* the latest that did */
 } BH__EndpointPast;
@@ -49,10 +49,10 @@
 typedef struct {
 	char name[BH__NAME_LEN];
 	bool draining;
-	BH__Place changed;    /* in the store's history, when that was last written or taken back */
-	uint64_t since_us;    /* when this node learnt of it; not told */
-	uint64_t ends_at_us;  /* when it ends unless it is written again; 0: it does not; not told */
-	BH__Place ends_place; /* as of which it was not there; not told */
+	BH__StoreVersion changed;    /* in the store's history, when that was last written or taken back */
+	uint64_t since_us;           /* when this node learnt of it; not told */
+	uint64_t ends_at_us;         /* when it ends unless it is written again; 0: it does not; not told */
+	BH__StoreVersion ends_place; /* as of which it was not there; not told */
 } BH__HallDrain;
 
 /* What an endpoint has said of itself in answers, in its latest start, and whom this node has told. A leaving
@@ -73,7 +73,7 @@
 	uint64_t endpoint_id; /* hash of its id */
 	BH__EndpointEntry entry;
 	BH__EndpointPast past;
-	BH__Place learnt; /* with which the last change of what is believed of it was learnt */
+	BH__StoreVersion learnt; /* with which the last change of what is believed of it was learnt */
 	BH__EndpointSignals signals;
 	uint64_t gone_at_us;    /* 0: listed; otherwise it is to be taken as gone from then on */
 	bool hall_drains;       /* the hall that it stands in */
@@ -100,7 +100,7 @@
 typedef struct {
 	uint64_t endpoint_id;
 	BH__EndpointPast past;
-	BH__Place learnt;            /* as that of an endpoint; not told */
+	BH__StoreVersion learnt;     /* as that of an endpoint; not told */
 	BH__EndpointSignals signals; /* not told */
 } BH__EndpointDeparture;
 
@@ -109,19 +109,21 @@
 BH__Registry *bh__registry_new(uint32_t seed);
 void bh__registry_delete(BH__Registry *r);
 uint64_t bh__registry_get_version(const BH__Registry *r);
-BH__Place bh__registry_get_place(const BH__Registry *r);
-BH__Place bh__registry_get_changed_place(const BH__Registry *r);
-void bh__registry_set_place(BH__Registry *r, BH__Place place);
-void bh__registry_begin_era(BH__Registry *r, BH__Place start);
-BH__Place bh__registry_get_era_start(const BH__Registry *r);
-bool bh__registry_put(BH__Registry *r, const BH__EndpointEntry *entry, BH__Place listed, BH__Place as_of);
-void bh__registry_remove(BH__Registry *r, uint64_t endpoint_id, BH__Place gone, uint64_t gone_at_us,
-						 BH__Place as_of);
-bool bh__registry_put_fact(BH__Registry *r, const BH__EndpointFact *f, BH__Place as_of, uint64_t now_us);
-void bh__registry_put_departure(BH__Registry *r, const BH__EndpointDeparture *d, BH__Place as_of);
+BH__StoreVersion bh__registry_get_place(const BH__Registry *r);
+BH__StoreVersion bh__registry_get_changed_place(const BH__Registry *r);
+void bh__registry_set_place(BH__Registry *r, BH__StoreVersion store_version);
+void bh__registry_begin_era(BH__Registry *r, BH__StoreVersion start);
+BH__StoreVersion bh__registry_get_era_start(const BH__Registry *r);
+bool bh__registry_put(BH__Registry *r, const BH__EndpointEntry *entry, BH__StoreVersion listed,
+					  BH__StoreVersion as_of);
+void bh__registry_remove(BH__Registry *r, uint64_t endpoint_id, BH__StoreVersion gone, uint64_t gone_at_us,
+						 BH__StoreVersion as_of);
+bool bh__registry_put_fact(BH__Registry *r, const BH__EndpointFact *f, BH__StoreVersion as_of,
+						   uint64_t now_us);
+void bh__registry_put_departure(BH__Registry *r, const BH__EndpointDeparture *d, BH__StoreVersion as_of);
 bool bh__registry_note_leaving(BH__Registry *r, uint64_t endpoint_id, uint64_t born_ms);
-void bh__registry_keep_only(BH__Registry *r, GHashTable *ids, BH__Place as_of, uint64_t gone_at_us);
-bool bh__registry_list_changes(const BH__Registry *r, BH__Place since, uint64_t now_us, GArray *facts,
+void bh__registry_keep_only(BH__Registry *r, GHashTable *ids, BH__StoreVersion as_of, uint64_t gone_at_us);
+bool bh__registry_list_changes(const BH__Registry *r, BH__StoreVersion since, uint64_t now_us, GArray *facts,
 							   GArray *departures);
 void bh__registry_add_fact(const BH__Registry *r, unsigned index, uint64_t now_us, GArray *facts);
 void bh__registry_process_tick(BH__Registry *r, uint64_t now_us);
@@ -151,10 +153,10 @@
 							uint64_t now_us);
 
 /* registry_halls.c */
-bool bh__registry_put_hall(BH__Registry *r, const char *name, bool draining, BH__Place changed,
+bool bh__registry_put_hall(BH__Registry *r, const char *name, bool draining, BH__StoreVersion changed,
 						   uint64_t now_us);
-bool bh__registry_read_hall(BH__Registry *r, const char *name, BH__Place written, uint64_t now_us);
-void bh__registry_keep_halls(BH__Registry *r, GHashTable *names, BH__Place as_of, uint64_t now_us);
+bool bh__registry_read_hall(BH__Registry *r, const char *name, BH__StoreVersion written, uint64_t now_us);
+void bh__registry_keep_halls(BH__Registry *r, GHashTable *names, BH__StoreVersion as_of, uint64_t now_us);
 bool bh__registry_is_hall_draining(const BH__Registry *r, const char *name);
 unsigned bh__registry_get_hall_count(const BH__Registry *r);
 const BH__HallDrain *bh__registry_get_hall(const BH__Registry *r, unsigned index);
--- a/include/bayhoist/place.h
+++ b/include/bayhoist/store_version.h
@@ -2,22 +2,22 @@
 /* Version of the platform's store. State read from the store carries the version as of which it is valid, so
  * that any node can tell older state from newer, whatever the order in which it arrives and whichever node
  * sends it. A store that is restored from a backup hands out revisions again, but with a higher era. */
-#ifndef BAYHOIST_PLACE_H
-#define BAYHOIST_PLACE_H
+#ifndef BAYHOIST_STORE_VERSION_H
+#define BAYHOIST_STORE_VERSION_H
 
 #include "bayhoist/types.h"
 
-#define BH__PLACE_TEXT_LEN 40 /* "era.revision" with its terminator */
+#define BH__STORE_VERSION_TEXT_LEN 40 /* "era.revision" with its terminator */
 
 typedef struct {
 	uint64_t era;      /* grows each time that the store is restored from a backup */
 	uint64_t revision; /* grows with each change of the store within an era; 0 in era 0: nothing is known */
-} BH__Place;
+} BH__StoreVersion;
 
-int bh__place_compare(BH__Place a, BH__Place b);
-bool bh__place_is_after(BH__Place a, BH__Place b);
-BH__Place bh__place_max(BH__Place a, BH__Place b);
-bool bh__place_is_start(BH__Place p);
-const char *bh__place_write(BH__Place p, char text[BH__PLACE_TEXT_LEN]);
+int bh__store_version_compare(BH__StoreVersion a, BH__StoreVersion b);
+bool bh__store_version_is_after(BH__StoreVersion a, BH__StoreVersion b);
+BH__StoreVersion bh__store_version_max(BH__StoreVersion a, BH__StoreVersion b);
+bool bh__store_version_is_zero(BH__StoreVersion p);
+const char *bh__store_version_write(BH__StoreVersion p, char text[BH__STORE_VERSION_TEXT_LEN]);
 
 #endif
--- a/include/bayhoist/takeover.h
+++ b/include/bayhoist/takeover.h
@@ -20,7 +20,7 @@
 void bh__takeover_clear(BH__Takeover *t);
 void bh__takeover_begin(BH__Takeover *t, uint64_t now_us);
 void bh__takeover_end(BH__Takeover *t);
-void bh__takeover_note_told(BH__Takeover *t, uint64_t node_id, bool all, uint64_t now_us);
+void bh__takeover_note_report(BH__Takeover *t, uint64_t node_id, bool all, uint64_t now_us);
 bool bh__takeover_is_done(const BH__Takeover *t, const BH__Members *members, uint64_t now_us);
 
 #endif
--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -92,7 +92,7 @@
 	c->head.headers = g_string_new(NULL);
 	g_hash_table_add(g->calls, c);
 	g->counters.requests++;
-	if (bh__knowledge_get_state(&g->knowledge, clock_now_us()) == BH__KNOWLEDGE_COMING)
+	if (bh__startup_state_get_progress(&g->knowledge, clock_now_us()) == BH__STARTUP_STATE_PENDING)
 		call_set_timer(c, clock_now_us());
 	else
 		begin_(c);
@@ -114,15 +114,15 @@
  * wait for these begin. */
 void calls_process_news(Gate *g)
 {
-	BH__KnowledgeState state;
+	BH__StartupProgress state;
 	GList *all;
 
 	if (gate_knows_endpoints(g))
 		cluster_process_early(g->cluster);
-	state = bh__knowledge_get_state(&g->knowledge, clock_now_us());
-	if (state == BH__KNOWLEDGE_COMING || g->told_informed)
+	state = bh__startup_state_get_progress(&g->knowledge, clock_now_us());
+	if (state == BH__STARTUP_STATE_PENDING || g->told_informed)
 		return;
-	g->told_informed = state == BH__KNOWLEDGE_WHOLE;
+	g->told_informed = state == BH__STARTUP_STATE_COMPLETE;
 	all = g_hash_table_get_keys(g->calls);
 	for (GList *it = all; it; it = it->next) {
 		Call *c = it->data;
@@ -774,7 +774,7 @@
  * the caller waits. */
 static uint64_t starting_until_us_(const Call *c)
 {
-	uint64_t until_us = bh__knowledge_get_wait_until_us(&c->gate->knowledge);
+	uint64_t until_us = bh__startup_state_get_wait_until_us(&c->gate->knowledge);
 	uint64_t left_us = c->request->meta.time_left_us;
 
 	return left_us ? MIN(until_us, c->request->arrived_us + left_us) : until_us;
--- a/src/bayhoist-gate/cluster.c
+++ b/src/bayhoist-gate/cluster.c
@@ -201,7 +201,7 @@
 	set_ready_(c, gate_is_ready(c->gate, now_us));
 	bh__members_process_tick(c->members, now_us);
 	log_members_(c);
-	bh__looks_process_tick(looks_get(c->gate->looks), now_us);
+	bh__platform_sync_process_tick(looks_get(c->gate->looks), now_us);
 	gate_note_registry(c->gate, 0);
 	crashes_process_tick(c->gate->crashes, now_us);
 	schedulers_follow(c, now_us);
@@ -344,13 +344,13 @@
 		schedulers_process_hold(c, m, now_us);
 		break;
 	case BH__MESSAGE_SYNC_ASK:
-		bh__looks_process_ask(looks_get(c->gate->looks), m, now_us);
+		bh__platform_sync_process_ask(looks_get(c->gate->looks), m, now_us);
 		break;
 	case BH__MESSAGE_SYNC:
-		bh__looks_process_answer(looks_get(c->gate->looks), m, now_us);
+		bh__platform_sync_process_answer(looks_get(c->gate->looks), m, now_us);
 		break;
 	case BH__MESSAGE_READER:
-		bh__looks_process_reader(looks_get(c->gate->looks), m, now_us);
+		bh__platform_sync_process_reader(looks_get(c->gate->looks), m, now_us);
 		break;
 	default:
 		break;
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -14,8 +14,8 @@
 #include "bayhoist/retry_state.h"
 #include "bayhoist/fingerprint.h"
 #include "bayhoist/histogram.h"
-#include "bayhoist/knowledge.h"
-#include "bayhoist/looks.h"
+#include "bayhoist/startup_state.h"
+#include "bayhoist/platform_sync.h"
 #include "bayhoist/members.h"
 #include "bayhoist/planner.h"
 #include "bayhoist/registry.h"
@@ -75,11 +75,11 @@
 	uint64_t routing_looked_us; /* when the look was begun that last showed it to be the newest */
 	uint64_t no_routing_us;     /* when the look was begun that last showed that there is none yet */
 	BH__Registry *registry;
-	BH__Knowledge knowledge;     /* what was learnt since the start */
+	BH__StartupState knowledge;  /* what was learnt since the start */
 	bool told_informed;          /* calls that waited for all of that have begun */
 	uint64_t registry_seen;      /* version that the planners follow */
 	uint64_t halls_seen;         /* version of what was logged of halls that drain */
-	BH__Place place_seen;        /* in the store's history, as far as the registry showed it */
+	BH__StoreVersion place_seen; /* in the store's history, as far as the registry showed it */
 	GHashTable *budgets;         /* BH__ServiceRetryBudget by service name */
 	GHashTable *route_times;     /* RouteTimes by route name */
 	GHashTable *calls;           /* set of live Call */
@@ -249,7 +249,7 @@
 /* looks.c */
 Looks *looks_new(Gate *g);
 void looks_delete(Looks *l);
-BH__Looks *looks_get(const Looks *l);
+BH__PlatformSync *looks_get(const Looks *l);
 void looks_follow_settings(Looks *l);
 void looks_write_status(const Looks *l, struct evbuffer *out);
 
--- a/src/bayhoist-gate/halls.c
+++ b/src/bayhoist-gate/halls.c
@@ -12,7 +12,7 @@
 /* Logs what has become known of halls since this was last called. */
 void halls_follow(Gate *g)
 {
-	char place[BH__PLACE_TEXT_LEN];
+	char place[BH__STORE_VERSION_TEXT_LEN];
 
 	if (g->halls_seen == bh__registry_get_halls_version(g->registry))
 		return;
@@ -20,7 +20,7 @@
 	for (unsigned i = 0; i < bh__registry_get_hall_count(g->registry); i++) {
 		const BH__HallDrain *d = bh__registry_get_hall(g->registry, i);
 		log_event("hall", "hall=%s what=%s since=%s requests=%u", d->name, d->draining ? "drains" : "in-use",
-				  bh__place_write(d->changed, place), count_requests_(g, d->name));
+				  bh__store_version_write(d->changed, place), count_requests_(g, d->name));
 	}
 }
 
--- a/src/bayhoist-gate/main.c
+++ b/src/bayhoist-gate/main.c
@@ -84,7 +84,7 @@
 
 	g->boot_id = clock_new_boot_id();
 	g->started_us = clock_now_us();
-	bh__knowledge_init(&g->knowledge, g->started_us);
+	bh__startup_state_init(&g->knowledge, g->started_us);
 	log_init(g->settings.name, g->settings.hall, g->boot_id);
 	log_set_buffered(true);
 	log_set_limit(LOG_LINES_PER_S);
@@ -108,7 +108,7 @@
 	}
 	add_seeds_(g);
 	cluster_join(g->cluster);
-	bh__looks_process_tick(looks_get(g->looks), g->started_us);
+	bh__platform_sync_process_tick(looks_get(g->looks), g->started_us);
 	g->port->find_duties(g);
 	add_event_(g, evsignal_new(g->base, SIGTERM, on_terminate_, g), NULL);
 	add_event_(g, evsignal_new(g->base, SIGINT, on_terminate_, g), NULL);
@@ -177,7 +177,7 @@
 		cluster_follow_routing(g->cluster, clock_now_us());
 	}
 	gate_note_look(g, looked_us);
-	bh__looks_process_news(looks_get(g->looks), clock_now_us());
+	bh__platform_sync_process_update(looks_get(g->looks), clock_now_us());
 }
 
 /* A look has shown that the operators have not written a configuration yet. */
@@ -190,13 +190,13 @@
 /* The configuration is being read; within `answer_us` that ends or fails. */
 void gate_note_configuration_asked(Gate *g, uint64_t answer_us)
 {
-	bh__knowledge_note_asked(&g->knowledge, answer_us, clock_now_us());
+	bh__startup_state_note_asked(&g->knowledge, answer_us, clock_now_us());
 }
 
 /* It was read in vain: calls that wait for it are refused, unless it comes from another node at once. */
 void gate_note_configuration_lost(Gate *g)
 {
-	bh__knowledge_note_failed(&g->knowledge);
+	bh__startup_state_note_failed(&g->knowledge);
 	calls_process_news(g);
 }
 
@@ -206,14 +206,14 @@
 	if (looked_us > g->routing_looked_us)
 		g->routing_looked_us = looked_us;
 	if (g->routing && g->routing_looked_us)
-		bh__knowledge_note_configuration(&g->knowledge, clock_now_us());
+		bh__startup_state_note_configuration(&g->knowledge, clock_now_us());
 	calls_process_news(g);
 }
 
 /* Returns true once the configuration and the endpoints have been learnt since the start. */
 bool gate_knows_endpoints(const Gate *g)
 {
-	return bh__knowledge_has_endpoints(&g->knowledge);
+	return bh__startup_state_has_endpoints(&g->knowledge);
 }
 
 /* A node is recorded to do a duty: it is taken for alive until it is heard from or turns out not to be. */
@@ -226,7 +226,7 @@
 /* The record of duties has been read, as far as it can be. */
 void gate_note_duties(Gate *g)
 {
-	bh__knowledge_note_duties(&g->knowledge, clock_now_us());
+	bh__startup_state_note_duties(&g->knowledge, clock_now_us());
 	calls_process_news(g);
 }
 
@@ -239,9 +239,9 @@
 /* Where the platform's store has gone back to a copy, what the nodes had written there is written again. */
 static void follow_era_(Gate *g)
 {
-	BH__Place place = bh__registry_get_place(g->registry);
+	BH__StoreVersion place = bh__registry_get_place(g->registry);
 
-	if (!bh__place_is_start(g->place_seen) && place.era > g->place_seen.era) {
+	if (!bh__store_version_is_zero(g->place_seen) && place.era > g->place_seen.era) {
 		log_event("store", "what=era was=%" G_GUINT64_FORMAT " now=%" G_GUINT64_FORMAT, g->place_seen.era,
 				  place.era);
 		cluster_follow_era(g->cluster);
@@ -255,9 +255,9 @@
 void gate_note_registry(Gate *g, uint64_t looked_us)
 {
 	if (looked_us)
-		bh__looks_note_answered(looks_get(g->looks), looked_us, clock_now_us());
-	if (bh__looks_get_known_us(looks_get(g->looks)))
-		bh__knowledge_note_endpoints(&g->knowledge, clock_now_us());
+		bh__platform_sync_note_read_answered(looks_get(g->looks), looked_us, clock_now_us());
+	if (bh__platform_sync_get_as_of_us(looks_get(g->looks)))
+		bh__startup_state_note_endpoints(&g->knowledge, clock_now_us());
 	bh__registry_process_tick(g->registry, clock_now_us());
 	follow_era_(g);
 	halls_follow(g);
@@ -266,7 +266,7 @@
 		cluster_follow_registry(g->cluster, clock_now_us());
 		crashes_follow_registry(g->crashes, clock_now_us());
 	}
-	bh__looks_process_news(looks_get(g->looks), clock_now_us());
+	bh__platform_sync_process_update(looks_get(g->looks), clock_now_us());
 	calls_process_news(g);
 }
 
--- /dev/null
+++ b/src/bayhoist-gate/platform_sync.c
@@ -0,0 +1,208 @@
+/* SPDX-License-Identifier: BSD-3-Clause */
+/* The gateway's port for what nodes learn of the platform from each other (bayhoist/looks.h), and its log
+ * lines. */
+#include "gate.h"
+
+#include <string.h>
+#include "clock.h"
+#include "log.h"
+
+#define NAMED_MAX                                                                                            \
+	4u /* endpoints that a line of the log names, of those that changed and of those that went */
+
+/* Of the reads that the store bears, looks of all nodes together while it is away: 20 a second where it bears
+ * 2,000. */
+#define AWAY_LOOKS_SHARE 0.01
+
+struct Looks {
+	BH__PlatformSyncPort port; /* first: the library hands it back */
+	Gate *gate;
+	BH__PlatformSync *looks;
+};
+
+static BH__PlatformSyncOptions options_(const Gate *g);
+static void send_(BH__PlatformSyncPort *port, uint64_t node_id, BH__Message *m);
+static void look_at_configuration_(BH__PlatformSyncPort *port);
+static void look_at_endpoints_(BH__PlatformSyncPort *port, uint64_t limit_us);
+static bool look_at_endpoints_again_(BH__PlatformSyncPort *port);
+static void watch_configuration_(BH__PlatformSyncPort *port, bool wanted);
+static BH__PlatformSyncConfiguration get_configuration_(BH__PlatformSyncPort *port);
+static const char *get_configuration_text_(BH__PlatformSyncPort *port);
+static bool take_configuration_(BH__PlatformSyncPort *port, const char *text, uint64_t platform_read_us);
+static void confirm_configuration_(BH__PlatformSyncPort *port, uint64_t platform_read_us);
+static void learnt_(BH__PlatformSyncPort *port);
+static void said_(BH__PlatformSyncPort *port, BH__PlatformSyncEvent event, uint64_t node_id);
+static void was_told_(BH__PlatformSyncPort *port, const BH__Message *m, unsigned was_count);
+
+static const BH__PlatformSyncPort Port_ = {.send = send_,
+										   .read_configuration = look_at_configuration_,
+										   .read_endpoints = look_at_endpoints_,
+										   .resend_endpoints_read = look_at_endpoints_again_,
+										   .watch_configuration = watch_configuration_,
+										   .get_configuration = get_configuration_,
+										   .get_configuration_text = get_configuration_text_,
+										   .take_configuration = take_configuration_,
+										   .confirm_configuration = confirm_configuration_,
+										   .merged = learnt_,
+										   .report_event = said_,
+										   .report_received = was_told_};
+
+/* The cluster must have been started. */
+Looks *looks_new(Gate *g)
+{
+	Looks *l = g_new0(Looks, 1);
+	BH__PlatformSyncOptions options = options_(g);
+
+	l->port = Port_;
+	l->gate = g;
+	l->looks = bh__platform_sync_new(&l->port, &options, cluster_get_members(g->cluster), g->registry);
+	return l;
+}
+
+void looks_delete(Looks *l)
+{
+	if (!l)
+		return;
+	bh__platform_sync_delete(l->looks);
+	g_free(l);
+}
+
+BH__PlatformSync *looks_get(const Looks *l)
+{
+	return l->looks;
+}
+
+/* Takes settings that have changed. */
+void looks_follow_settings(Looks *l)
+{
+	BH__PlatformSyncOptions options = options_(l->gate);
+
+	bh__platform_sync_set_options(l->looks, &options);
+}
+
+static BH__PlatformSyncOptions options_(const Gate *g)
+{
+	return (BH__PlatformSyncOptions){.endpoint_drain_ms = g->settings.endpoint_drain_ms,
+									 .configuration_ms = g->settings.configuration_ms,
+									 .unavailable_reads_per_s =
+										 MAX(g->settings.store_reads_per_s * AWAY_LOOKS_SHARE, 1.0),
+									 .random_seed = g->boot_id};
+}
+
+static Gate *gate_(BH__PlatformSyncPort *port)
+{
+	return ((Looks *)port)->gate;
+}
+
+static void send_(BH__PlatformSyncPort *port, uint64_t node_id, BH__Message *m)
+{
+	cluster_send(gate_(port)->cluster, node_id, m);
+}
+
+static void look_at_configuration_(BH__PlatformSyncPort *port)
+{
+	gate_(port)->port->read_configuration(gate_(port));
+}
+
+static void look_at_endpoints_(BH__PlatformSyncPort *port, uint64_t limit_us)
+{
+	gate_(port)->port->read_endpoints(gate_(port), limit_us);
+}
+
+static bool look_at_endpoints_again_(BH__PlatformSyncPort *port)
+{
+	return gate_(port)->port->resend_endpoints_read(gate_(port));
+}
+
+static void watch_configuration_(BH__PlatformSyncPort *port, bool wanted)
+{
+	gate_(port)->port->watch_configuration(gate_(port), wanted);
+}
+
+static BH__PlatformSyncConfiguration get_configuration_(BH__PlatformSyncPort *port)
+{
+	const Gate *g = gate_(port);
+
+	return (BH__PlatformSyncConfiguration){.version = g->routing ? bh__routing_get_version(g->routing) : 0,
+										   .platform_read_us = g->routing_looked_us,
+										   .absent_read_us = g->no_routing_us};
+}
+
+static const char *get_configuration_text_(BH__PlatformSyncPort *port)
+{
+	return gate_(port)->routing_text;
+}
+
+static bool take_configuration_(BH__PlatformSyncPort *port, const char *text, uint64_t platform_read_us)
+{
+	return gate_(port)->port->take_configuration(gate_(port), text, platform_read_us);
+}
+
+static void confirm_configuration_(BH__PlatformSyncPort *port, uint64_t platform_read_us)
+{
+	gate_note_look(gate_(port), platform_read_us);
+}
+
+static void learnt_(BH__PlatformSyncPort *port)
+{
+	gate_note_registry(gate_(port), 0);
+}
+
+static void said_(BH__PlatformSyncPort *port, BH__PlatformSyncEvent event, uint64_t node_id)
+{
+	const Gate *g = gate_(port);
+	const BH__MemberInfo *info = bh__members_find(cluster_get_members(g->cluster), node_id);
+
+	log_event("looks", "what=%s node=%s nodes=%u", BH__PlatformSyncEventString[event], info ? info->name : "",
+			  bh__members_get_count(cluster_get_members(g->cluster)));
+}
+
+/* Writes how old what the node knows is, which place in the store's history it shows, and whom it asks. */
+void looks_write_status(const Looks *l, struct evbuffer *out)
+{
+	BH__PlatformSyncStatus s = bh__platform_sync_get_status(l->looks);
+	const BH__MemberInfo *info = bh__members_find(cluster_get_members(l->gate->cluster), s.source_node);
+	uint64_t now_us = clock_now_us();
+	const struct {
+		const char *name;
+		uint64_t value;
+	} all[] = {
+		{"endpoints_age_ms", s.endpoints_as_of_us ? (now_us - s.endpoints_as_of_us) / BH__MS_US : 0},
+		{"store_era", s.store_version.era},
+		{"store_revision", s.store_version.revision},
+		{"searches_for_ms", s.out_of_sync_since_us ? (now_us - s.out_of_sync_since_us) / BH__MS_US : 0},
+		{"looks_itself_in_ms", s.next_own_read_us > now_us ? (s.next_own_read_us - now_us) / BH__MS_US : 0}};
+
+	for (size_t i = 0; i < G_N_ELEMENTS(all); i++)
+		evbuffer_add_printf(out, "bayhoist_%s %" G_GUINT64_FORMAT "\n", all[i].name, all[i].value);
+	evbuffer_add_printf(out, "bayhoist_asks{node=\"%s\"} 1\n", info ? info->name : "");
+}
+
+/* Says what a source told of endpoints, and how many of these this node did not know. The first few that
+ * changed are named, unless the whole table was told. */
+static void was_told_(BH__PlatformSyncPort *port, const BH__Message *m, unsigned was_count)
+{
+	const Gate *g = gate_(port);
+	const BH__MemberInfo *info = bh__members_find(cluster_get_members(g->cluster), m->from_node);
+	GString *names = g_string_new(NULL);
+	uint64_t now_us = clock_now_us();
+	char store_version[BH__STORE_VERSION_TEXT_LEN];
+
+	for (uint32_t i = 0; !m->as.sync.is_complete && i < MIN(m->as.sync.count, NAMED_MAX); i++)
+		g_string_append_printf(names, "%s%s:%s", i ? "," : "", m->as.sync.fact[i].entry.id,
+							   m->as.sync.fact[i].entry.draining ? "draining" : "ready");
+	for (uint32_t i = 0; i < MIN(m->as.sync.gone_count, NAMED_MAX); i++) {
+		const BH__RegisteredEndpoint *e = bh__registry_find(g->registry, m->as.sync.gone[i].endpoint_id);
+		if (e)
+			g_string_append_printf(names, "%s%s:gone", names->len ? "," : "", e->entry.id);
+	}
+	log_event("looks",
+			  "what=endpoints-told node=%s count=%u gone=%u whole=%s place=%s"
+			  " knew=%u age_ms=%" G_GUINT64_FORMAT " named=%s",
+			  info ? info->name : "", m->as.sync.count, m->as.sync.gone_count,
+			  m->as.sync.is_complete ? "yes" : "no",
+			  bh__store_version_write(m->as.sync.store_version, store_version), was_count,
+			  (now_us - MIN(now_us, bh__platform_sync_get_as_of_us(g->looks->looks))) / BH__MS_US,
+			  names->str);
+	g_string_free(names, TRUE);
+}
--- a/src/bayhoist-gate/port.h
+++ b/src/bayhoist-gate/port.h
@@ -90,11 +90,11 @@
 	 * gate_note_no_configuration() where there is none yet; or which endpoints there are, told by
 	 * gate_note_registry(). A look that is under way is not begun again. `limit_us` is the longest that the
 	 * answer may take; 0: as long as usual. */
-	void (*look_at_configuration)(Gate *g);
-	void (*look_at_endpoints)(Gate *g, uint64_t limit_us);
+	void (*read_configuration)(Gate *g);
+	void (*read_endpoints)(Gate *g, uint64_t limit_us);
 	/* Sends a look at endpoints that is under way once more: the first answer counts. Returns false if it
 	 * can't be sent again. */
-	bool (*look_at_endpoints_again)(Gate *g);
+	bool (*resend_endpoints_read)(Gate *g);
 	/* Sets whether a change of the configuration is to be heard of at once, without a look. */
 	void (*watch_configuration)(Gate *g, bool wanted);
 	/* Reads which nodes did which duty when that was last recorded: each is handed to gate_presume_node(),
--- a/src/bayhoist-gate/schedulers.c
+++ b/src/bayhoist-gate/schedulers.c
@@ -308,7 +308,7 @@
 		return;
 	bh__planner_process_hold(s->planner, m->from_node, m->from_boot, m->as.hold.full, m->as.hold.grant,
 							 m->as.hold.count, now_us);
-	bh__takeover_note_told(&s->takeover, m->from_node, m->as.hold.is_complete, now_us);
+	bh__takeover_note_report(&s->takeover, m->from_node, m->as.hold.is_complete, now_us);
 	schedulers_process_early(c, now_us);
 }
 
--- a/src/bayhoistctl/halls.c
+++ b/src/bayhoistctl/halls.c
@@ -4,17 +4,17 @@
 #include <stdio.h>
 #include <string.h>
 #include <sysexits.h>
-#include "bayhoist/place.h"
+#include "bayhoist/store_version.h"
 #include "ctl.h"
 
 /* What gateways say of one hall. */
 typedef struct {
 	char *name;
-	BH__Place changed; /* of the latest word */
-	bool draining;     /* by that */
-	uint64_t known_ms; /* for the longest time that a gateway has known it */
-	uint64_t requests; /* of all gateways, that still run there */
-	GPtrArray *heard;  /* addresses of gateways that know the latest word */
+	BH__StoreVersion changed; /* of the latest word */
+	bool draining;            /* by that */
+	uint64_t known_ms;        /* for the longest time that a gateway has known it */
+	uint64_t requests;        /* of all gateways, that still run there */
+	GPtrArray *heard;         /* addresses of gateways that know the latest word */
 } Hall;
 
 static bool read_gateway_(const Options *o, const char *address, GPtrArray *halls);
@@ -68,8 +68,8 @@
 static void take_(GPtrArray *halls, struct json_object *said, const char *address)
 {
 	Hall *h = find_(halls, ctl_text(said, "hall"));
-	BH__Place changed = {.era = ctl_number(said, "era"), .revision = ctl_number(said, "revision")};
-	int order = bh__place_compare(changed, h->changed);
+	BH__StoreVersion changed = {.era = ctl_number(said, "era"), .revision = ctl_number(said, "revision")};
+	int order = bh__store_version_compare(changed, h->changed);
 
 	h->requests += ctl_number(said, "requests");
 	if (order < 0)
--- a/src/libbayhoist/include/private/registry_internal.h
+++ b/src/libbayhoist/include/private/registry_internal.h
@@ -10,9 +10,9 @@
 
 /* The store has gone back while this node ran. */
 typedef struct {
-	BH__Place start; /* first place of the new era that was seen: entries that were last written up to there
-						are of before */
-	uint64_t before; /* era that this node knew before */
+	BH__StoreVersion start; /* first place of the new era that was seen: entries that were last written up to
+						there are of before */
+	uint64_t before;        /* era that this node knew before */
 } BH__EraStart;
 
 struct BH__Registry {
@@ -22,18 +22,19 @@
 	uint64_t now_us;                 /* of the latest tick */
 	uint64_t version;                /* grows with each change of what may be used */
 	uint64_t lives;                  /* starts of endpoints that were seen */
-	BH__Place place;                 /* up to which all changes are known */
+	BH__StoreVersion store_version;  /* up to which all changes are known */
 	BH__EraStart era[BH__ERAS_KEPT]; /* the latest first */
 	unsigned era_count;
-	BH__Place changed;    /* with which the last change of what is believed was learnt */
-	GHashTable *departed; /* BH__EndpointDeparture by endpoint id */
-	BH__Place floor;     /* latest place as of which an endpoint was gone that is in neither table any more */
-	BH__Place forgotten; /* latest place with which that had been learnt */
-	GArray *halls;       /* BH__HallDrain */
+	BH__StoreVersion changed; /* with which the last change of what is believed was learnt */
+	GHashTable *departed;     /* BH__EndpointDeparture by endpoint id */
+	BH__StoreVersion
+		floor; /* latest place as of which an endpoint was gone that is in neither table any more */
+	BH__StoreVersion forgotten; /* latest place with which that had been learnt */
+	GArray *halls;              /* BH__HallDrain */
 	uint64_t halls_version;
 };
 
-BH__Place bh__registry_written(const BH__Registry *r, BH__Place p);
+BH__StoreVersion bh__registry_written(const BH__Registry *r, BH__StoreVersion p);
 
 /* registry_halls.c */
 void bh__registry_process_halls(BH__Registry *r, uint64_t now_us);
--- a/src/libbayhoist/message.c
+++ b/src/libbayhoist/message.c
@@ -52,7 +52,7 @@
 static void config_data_(Codec_ *c, BH__Message *m);
 static void quota_(Codec_ *c, BH__Message *m);
 static void endpoint_(Codec_ *c, BH__EndpointEntry *e);
-static void store_version_(Codec_ *c, BH__Place *p);
+static void store_version_(Codec_ *c, BH__StoreVersion *p);
 static void past_(Codec_ *c, BH__EndpointPast *p);
 static void sync_(Codec_ *c, BH__Message *m);
 static void fingerprint_(Codec_ *c, BH__Fingerprint *f);
@@ -350,7 +350,7 @@
 	flag_(c, &e->draining);
 }
 
-static void store_version_(Codec_ *c, BH__Place *p)
+static void store_version_(Codec_ *c, BH__StoreVersion *p)
 {
 	u64_(c, &p->era);
 	u64_(c, &p->revision);
@@ -372,7 +372,7 @@
 	u64_(c, &m->as.sync.configuration_version);
 	u64_(c, &m->as.sync.configuration_age_us);
 	packed_text_(c, &m->as.sync.configuration);
-	store_version_(c, &m->as.sync.place);
+	store_version_(c, &m->as.sync.store_version);
 	store_version_(c, &m->as.sync.era_start);
 	u64_(c, &m->as.sync.registry_age_us);
 	u64_(c, &m->as.sync.reader);
--- a/src/libbayhoist/outage.c
+++ b/src/libbayhoist/outage.c
@@ -9,14 +9,14 @@
 
 /* Records that a platform read sent at `sent_us` with a time-out of `timeout_us` was not answered. A read
  * that ends long after its time-out is ignored, since this node was suspended. */
-void bh__outage_note_failed(BH__Outage *o, uint64_t sent_us, uint64_t timeout_us, uint64_t now_us)
+void bh__outage_note_read_failed(BH__Outage *o, uint64_t sent_us, uint64_t timeout_us, uint64_t now_us)
 {
 	if (now_us <= sent_us + timeout_us + SUSPENDED_AFTER_US_)
 		o->seen_us = now_us;
 }
 
 /* Records that several other nodes have reported that the store does not answer them either. */
-void bh__outage_note_others_lost(BH__Outage *o, uint64_t now_us)
+void bh__outage_note_others_out_of_sync(BH__Outage *o, uint64_t now_us)
 {
 	o->seen_us = now_us;
 }
@@ -30,5 +30,5 @@
 {
 	bool had_outage = as_of_us && o->seen_us > as_of_us && now_us > as_of_us + OUTAGE_MIN_US_;
 
-	return had_outage ? now_us + BH__OUTAGE_BACK_US : now_us;
+	return had_outage ? now_us + BH__OUTAGE_GRACE_US : now_us;
 }
--- a/src/libbayhoist/looks.c
+++ b/src/libbayhoist/platform_sync.c
@@ -1,17 +1,17 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
 /* Sharing of platform state among the nodes, since each platform read costs a call. A node asks its source
- * (BH__Source) for state that it does not have yet. The source holds the request until it has an update or
- * has read again. A change therefore reaches every node within a few messages, and the state of a node is
+ * (BH__SyncSource) for state that it does not have yet. The source holds the request until it has an update
+ * or has read again. A change therefore reaches every node within a few messages, and the state of a node is
  * never much older than the reader's latest read. The answer contains the configuration if there is a newer
  * one, and the endpoints that were added, changed or removed, so that a node that the platform refuses works
  * as well as the others. */
-#include "bayhoist/looks.h"
+#include "bayhoist/platform_sync.h"
 
 #include <string.h>
 #include "bayhoist/answer_time.h"
 #include "bayhoist/hash.h"
-#include "bayhoist/look.h"
-#include "bayhoist/source.h"
+#include "bayhoist/read_schedule.h"
+#include "bayhoist/sync_source.h"
 
 /* Periods of the reader's platform reads, as shares of the time limits for leaving an endpoint and for
  * applying a configuration. They leave time to repeat a failed read and to send its result to all nodes. */
@@ -56,7 +56,7 @@
 	uint64_t received_us;           /* arrival, by this node's clock */
 	uint64_t answer_by_us;          /* time by which it is answered, with an update or without */
 	uint64_t configuration_version; /* the asker's configuration; 0: it has none */
-	BH__Place place;                /* version up to which the asker has all changes of endpoints */
+	BH__StoreVersion store_version; /* version up to which the asker has all changes of endpoints */
 	bool lacks_halls;               /* this node had hall drain states on arrival that the asker lacked */
 	uint64_t halls_version;         /* version of this node's hall drain states on arrival */
 	bool knows_unavailable;         /* several sources have told the asker that the platform is unavailable */
@@ -65,12 +65,12 @@
 } HeldRequest_;
 
 /* Times are in microseconds. */
-struct BH__Looks {
-	BH__LooksPort *port;
-	BH__LooksOptions options;
+struct BH__PlatformSync {
+	BH__PlatformSyncPort *port;
+	BH__PlatformSyncOptions options;
 	const BH__Members *members;
 	BH__Registry *registry;
-	BH__Source source;
+	BH__SyncSource source;
 	BH__Outage outage;
 	uint64_t as_of_us;       /* start time of the platform read whose endpoints the registry holds; 0: none */
 	uint64_t read_failed_us; /* when an own endpoints read last failed; 0: never */
@@ -80,13 +80,13 @@
 	uint64_t asked_us;                /* when the open request was sent; 0: none is open */
 	uint64_t answer_by_us;            /* time-out of the open request */
 	bool asks_newer_node; /* the open request went to a node with a later configuration, not to the source */
-	uint64_t reader_since_us; /* when this node became the reader; 0: it is not */
-	uint64_t next_own_us;     /* next own read of a node other than the reader, in an outage */
-	uint64_t draw_count;      /* number of random times drawn */
-	uint64_t lost_since_us;   /* when this node began to search for a source; 0: it does not search */
-	bool last_read_failed;    /* this node's last endpoints read was not answered */
-	BH__Look configuration_schedule;
-	BH__Look endpoints_schedule;
+	uint64_t reader_since_us;      /* when this node became the reader; 0: it is not */
+	uint64_t next_own_read_us;     /* next own read of a node other than the reader, in an outage */
+	uint64_t draw_count;           /* number of random times drawn */
+	uint64_t out_of_sync_since_us; /* when this node began to search for a source; 0: it does not search */
+	bool last_read_failed;         /* this node's last endpoints read was not answered */
+	BH__ReadSchedule configuration_schedule;
+	BH__ReadSchedule endpoints_schedule;
 	uint64_t remote_reader; /* node whose platform read this node last merged; 0: it has read itself since */
 	uint64_t rejected_version; /* of an invalid configuration that was received; 0: none */
 	BH__PackedText packed;     /* the configuration in the form in which it is sent on */
@@ -94,52 +94,54 @@
 	GArray *held;              /* HeldRequest_ */
 };
 
-const char *const BH__LooksEventString[] = {"ask",  "read",  "found-stale", "found-silent", "found-damaged",
-											"lost", "found", "took-over",   "looked-again"};
+const char *const BH__PlatformSyncEventString[] = {"ask",          "read",          "found-stale",
+												   "found-silent", "found-damaged", "lost",
+												   "found",        "took-over",     "looked-again"};
 
 static uint64_t share_us_(uint64_t ms, double share);
-static bool is_fresh_(const BH__Looks *l, uint64_t now_us);
-static bool is_current_(const BH__Looks *l, uint64_t now_us);
-static bool is_reader_out_of_sync_(const BH__Looks *l);
-static uint64_t endpoints_max_age_us_(const BH__Looks *l);
-static uint64_t endpoints_period_us_(const BH__Looks *l);
-static uint64_t configuration_period_us_(const BH__Looks *l);
-static void update_source_(BH__Looks *l, uint64_t now_us);
-static void skip_source_(BH__Looks *l, bool stale, uint64_t now_us);
-static void end_search_(BH__Looks *l, uint64_t now_us);
-static void draw_own_read_(BH__Looks *l, uint64_t now_us);
-static void read_platform_(BH__Looks *l, uint64_t now_us);
-static void read_as_reader_(BH__Looks *l, uint64_t now_us);
-static void ask_others_as_reader_(BH__Looks *l, uint64_t now_us);
-static bool has_own_answer_(const BH__Looks *l);
-static void take_over_(BH__Looks *l, uint64_t now_us);
-static void notify_children_(BH__Looks *l, uint64_t reader);
-static bool is_configuration_old_(const BH__Looks *l, uint64_t now_us);
-static void read_endpoints_as_non_reader_(BH__Looks *l, uint64_t now_us);
-static void read_configuration_as_non_reader_(BH__Looks *l, uint64_t now_us);
-static void read_endpoints_(BH__Looks *l, uint64_t limit_us, uint64_t now_us);
-static void resend_endpoints_read_(BH__Looks *l, uint64_t now_us);
-static void note_as_of_(BH__Looks *l, uint64_t looked_us);
-static void ask_source_(BH__Looks *l, uint64_t now_us);
-static void send_request_(BH__Looks *l, uint64_t node, uint64_t hold_us, uint64_t now_us);
-static void ask_newer_node_(BH__Looks *l, const HeldRequest_ *q, uint64_t now_us);
-static bool has_update_(const BH__Looks *l, const HeldRequest_ *q, uint64_t now_us);
-static void answer_request_(BH__Looks *l, const HeldRequest_ *q, uint64_t now_us);
-static const BH__PackedText *packed_configuration_(BH__Looks *l, uint64_t version);
-static void add_facts_(const BH__Looks *l, const HeldRequest_ *q, uint64_t now_us, GArray *facts,
+static bool is_fresh_(const BH__PlatformSync *l, uint64_t now_us);
+static bool is_current_(const BH__PlatformSync *l, uint64_t now_us);
+static bool is_reader_out_of_sync_(const BH__PlatformSync *l);
+static uint64_t endpoints_max_age_us_(const BH__PlatformSync *l);
+static uint64_t endpoints_period_us_(const BH__PlatformSync *l);
+static uint64_t configuration_period_us_(const BH__PlatformSync *l);
+static void update_source_(BH__PlatformSync *l, uint64_t now_us);
+static void skip_source_(BH__PlatformSync *l, bool stale, uint64_t now_us);
+static void end_search_(BH__PlatformSync *l, uint64_t now_us);
+static void draw_own_read_(BH__PlatformSync *l, uint64_t now_us);
+static void read_platform_(BH__PlatformSync *l, uint64_t now_us);
+static void read_as_reader_(BH__PlatformSync *l, uint64_t now_us);
+static void ask_others_as_reader_(BH__PlatformSync *l, uint64_t now_us);
+static bool has_own_answer_(const BH__PlatformSync *l);
+static void take_over_(BH__PlatformSync *l, uint64_t now_us);
+static void notify_children_(BH__PlatformSync *l, uint64_t reader);
+static bool is_configuration_old_(const BH__PlatformSync *l, uint64_t now_us);
+static void read_endpoints_as_non_reader_(BH__PlatformSync *l, uint64_t now_us);
+static void read_configuration_as_non_reader_(BH__PlatformSync *l, uint64_t now_us);
+static void read_endpoints_(BH__PlatformSync *l, uint64_t limit_us, uint64_t now_us);
+static void resend_endpoints_read_(BH__PlatformSync *l, uint64_t now_us);
+static void note_as_of_(BH__PlatformSync *l, uint64_t platform_read_us);
+static void ask_source_(BH__PlatformSync *l, uint64_t now_us);
+static void send_request_(BH__PlatformSync *l, uint64_t node, uint64_t hold_us, uint64_t now_us);
+static void ask_newer_node_(BH__PlatformSync *l, const HeldRequest_ *q, uint64_t now_us);
+static bool has_update_(const BH__PlatformSync *l, const HeldRequest_ *q, uint64_t now_us);
+static void answer_request_(BH__PlatformSync *l, const HeldRequest_ *q, uint64_t now_us);
+static const BH__PackedText *packed_configuration_(BH__PlatformSync *l, uint64_t version);
+static void add_facts_(const BH__PlatformSync *l, const HeldRequest_ *q, uint64_t now_us, GArray *facts,
 					   GArray *departures, bool *is_complete);
-static void add_halls_(const BH__Looks *l, BH__Message *m);
-static void merge_halls_(BH__Looks *l, const BH__Message *m, uint64_t now_us);
-static void apply_configuration_(BH__Looks *l, const BH__Message *m, uint64_t looked_us);
-static void merge_facts_(BH__Looks *l, const BH__Message *m, uint64_t looked_us, uint64_t now_us);
+static void add_halls_(const BH__PlatformSync *l, BH__Message *m);
+static void merge_halls_(BH__PlatformSync *l, const BH__Message *m, uint64_t now_us);
+static void apply_configuration_(BH__PlatformSync *l, const BH__Message *m, uint64_t platform_read_us);
+static void merge_facts_(BH__PlatformSync *l, const BH__Message *m, uint64_t platform_read_us,
+						 uint64_t now_us);
 static void remove_unlisted_(BH__Registry *r, const BH__Message *m, uint64_t now_us);
 
-/* Creates the platform sync of a node. `port`, `members` and `registry` must outlive it. bh__looks_delete()
- * frees it. */
-BH__Looks *bh__looks_new(BH__LooksPort *port, const BH__LooksOptions *options, const BH__Members *members,
-						 BH__Registry *registry)
+/* Creates the platform sync of a node. `port`, `members` and `registry` must outlive it.
+ * bh__platform_sync_delete() frees it. */
+BH__PlatformSync *bh__platform_sync_new(BH__PlatformSyncPort *port, const BH__PlatformSyncOptions *options,
+										const BH__Members *members, BH__Registry *registry)
 {
-	BH__Looks *l = g_new0(BH__Looks, 1);
+	BH__PlatformSync *l = g_new0(BH__PlatformSync, 1);
 
 	l->port = port;
 	l->options = *options;
@@ -149,7 +151,7 @@
 	return l;
 }
 
-void bh__looks_delete(BH__Looks *l)
+void bh__platform_sync_delete(BH__PlatformSync *l)
 {
 	if (!l)
 		return;
@@ -159,59 +161,60 @@
 }
 
 /* Sets changed options. */
-void bh__looks_set_options(BH__Looks *l, const BH__LooksOptions *options)
+void bh__platform_sync_set_options(BH__PlatformSync *l, const BH__PlatformSyncOptions *options)
 {
 	l->options = *options;
 }
 
 /* Returns the start time, in microseconds, of the platform read whose endpoints the registry holds. 0: the
  * registry holds none. */
-uint64_t bh__looks_get_known_us(const BH__Looks *l)
+uint64_t bh__platform_sync_get_as_of_us(const BH__PlatformSync *l)
 {
 	return l->as_of_us;
 }
 
 /* Returns the age and the origin of this node's platform state, for operators. */
-BH__LooksStatus bh__looks_get_status(const BH__Looks *l)
+BH__PlatformSyncStatus bh__platform_sync_get_status(const BH__PlatformSync *l)
 {
-	return (BH__LooksStatus){.known_us = l->as_of_us,
-							 .place = bh__registry_get_place(l->registry),
-							 .lost_since_us = l->lost_since_us,
-							 .asked_node = l->source.node,
-							 .next_own_us = l->lost_since_us ? l->next_own_us : 0};
+	return (BH__PlatformSyncStatus){.endpoints_as_of_us = l->as_of_us,
+									.store_version = bh__registry_get_place(l->registry),
+									.out_of_sync_since_us = l->out_of_sync_since_us,
+									.source_node = l->source.node,
+									.next_own_read_us = l->out_of_sync_since_us ? l->next_own_read_us : 0};
 }
 
 /* Returns the time, in microseconds, from which an endpoint counts as gone when a platform read that ends at
  * `now_us` finds its entry missing. */
-uint64_t bh__looks_get_gone_at_us(const BH__Looks *l, uint64_t now_us)
+uint64_t bh__platform_sync_get_gone_at_us(const BH__PlatformSync *l, uint64_t now_us)
 {
 	return bh__outage_get_gone_at_us(&l->outage, l->as_of_us, now_us);
 }
 
 /* Records that this node's own endpoints read, in the sending of `sent_us`, was answered and its result is in
  * the registry. */
-void bh__looks_note_answered(BH__Looks *l, uint64_t sent_us, uint64_t now_us)
+void bh__platform_sync_note_read_answered(BH__PlatformSync *l, uint64_t sent_us, uint64_t now_us)
 {
 	l->read_sent_us = 0;
 	bh__answer_time_note(&l->store_answer_time, MAX(now_us - sent_us, 1), EXPECTED_ANSWER_US_);
 	note_as_of_(l, sent_us);
 }
 
-/* Records that the registry holds the endpoints as of a platform read begun at `looked_us`. */
-static void note_as_of_(BH__Looks *l, uint64_t looked_us)
+/* Records that the registry holds the endpoints as of a platform read begun at `platform_read_us`. */
+static void note_as_of_(BH__PlatformSync *l, uint64_t platform_read_us)
 {
-	l->as_of_us = MAX(l->as_of_us, looked_us);
+	l->as_of_us = MAX(l->as_of_us, platform_read_us);
 }
 
 /* Records that this node's own endpoints read, sent at `sent_us` with a time-out of `timeout_us`, has failed.
  * If this node reads for others, it answers their held requests accordingly. */
-void bh__looks_note_lost(BH__Looks *l, uint64_t sent_us, uint64_t timeout_us, uint64_t now_us)
+void bh__platform_sync_note_read_failed(BH__PlatformSync *l, uint64_t sent_us, uint64_t timeout_us,
+										uint64_t now_us)
 {
 	l->read_sent_us = 0;
 	l->read_failed_us = now_us;
 	l->last_read_failed = true;
-	bh__outage_note_failed(&l->outage, sent_us, timeout_us, now_us);
-	bh__looks_process_news(l, now_us);
+	bh__outage_note_read_failed(&l->outage, sent_us, timeout_us, now_us);
+	bh__platform_sync_process_update(l, now_us);
 }
 
 /* Returns a share of a time in milliseconds, in microseconds. */
@@ -221,7 +224,7 @@
 }
 
 /* Returns true if this node's endpoints are young enough to be sent to other nodes. */
-static bool is_fresh_(const BH__Looks *l, uint64_t now_us)
+static bool is_fresh_(const BH__PlatformSync *l, uint64_t now_us)
 {
 	return l->as_of_us && !is_reader_out_of_sync_(l) && now_us < l->as_of_us + endpoints_max_age_us_(l);
 }
@@ -229,7 +232,7 @@
 /* Returns true if the endpoints are as young as a reader keeps them while the platform answers it. When nodes
  * only required fresh endpoints before they read the configuration themselves, 237 of 295 nodes did so at
  * once, a second into an outage. */
-static bool is_current_(const BH__Looks *l, uint64_t now_us)
+static bool is_current_(const BH__PlatformSync *l, uint64_t now_us)
 {
 	return is_fresh_(l, now_us) &&
 		   now_us < l->as_of_us + endpoints_period_us_(l) + HOLD_EXTRA_US_ + ANSWER_TIMEOUT_US_;
@@ -238,31 +241,31 @@
 /* Returns true if this node reads the platform for others and its last read failed. It tells them at once:
  * without that, a change made while the platform refused only the reader reached the other nodes 2 s
  * later. */
-static bool is_reader_out_of_sync_(const BH__Looks *l)
+static bool is_reader_out_of_sync_(const BH__PlatformSync *l)
 {
 	return l->reader_since_us && l->read_failed_us > l->as_of_us;
 }
 
 /* Returns the age at which endpoints are no longer fresh. */
-static uint64_t endpoints_max_age_us_(const BH__Looks *l)
+static uint64_t endpoints_max_age_us_(const BH__PlatformSync *l)
 {
 	return share_us_(l->options.endpoint_drain_ms, ENDPOINTS_MAX_AGE_SHARE_);
 }
 
 /* Returns the period of the reader's endpoints reads. */
-static uint64_t endpoints_period_us_(const BH__Looks *l)
+static uint64_t endpoints_period_us_(const BH__PlatformSync *l)
 {
 	return share_us_(l->options.endpoint_drain_ms, ENDPOINTS_PERIOD_SHARE_);
 }
 
 /* Returns the period of the reader's configuration reads. */
-static uint64_t configuration_period_us_(const BH__Looks *l)
+static uint64_t configuration_period_us_(const BH__PlatformSync *l)
 {
 	return share_us_(l->options.configuration_ms, CONFIGURATION_PERIOD_SHARE_);
 }
 
 /* Reads the platform and asks the source if these are due. Must be called several times a second. */
-void bh__looks_process_tick(BH__Looks *l, uint64_t now_us)
+void bh__platform_sync_process_tick(BH__PlatformSync *l, uint64_t now_us)
 {
 	if (l->asked_us && now_us >= l->answer_by_us) {
 		if (l->asks_newer_node)
@@ -276,23 +279,25 @@
 	l->port->watch_configuration(l->port,
 								 l->reader_since_us && now_us >= l->reader_since_us + WATCH_DELAY_US_);
 	read_platform_(l, now_us);
-	if (bh__source_asks(&l->source, l->members) && !l->asked_us)
+	if (bh__sync_source_asks(&l->source, l->members) && !l->asked_us)
 		ask_source_(l, now_us);
 }
 
 /* Updates the choice of source from membership and the outcome of the last request, and whether this node is
  * the reader. */
-static void update_source_(BH__Looks *l, uint64_t now_us)
+static void update_source_(BH__PlatformSync *l, uint64_t now_us)
 {
 	bool asks;
 
-	if (bh__source_process_tick(&l->source, l->members, now_us)) {
-		asks = bh__source_asks(&l->source, l->members);
-		if (!l->lost_since_us)
-			l->port->said(l->port, asks ? BH__LOOKS_ASKS : BH__LOOKS_READS, l->source.node);
+	if (bh__sync_source_process_tick(&l->source, l->members, now_us)) {
+		asks = bh__sync_source_asks(&l->source, l->members);
+		if (!l->out_of_sync_since_us)
+			l->port->report_event(l->port,
+								  asks ? BH__PLATFORM_SYNC_ASKS_SOURCE : BH__PLATFORM_SYNC_READS_PLATFORM,
+								  l->source.node);
 		l->asked_us = 0;
 	}
-	if (!bh__source_reads(&l->source, l->members, now_us))
+	if (!bh__sync_source_reads(&l->source, l->members, now_us))
 		l->reader_since_us = 0;
 	else if (!l->reader_since_us)
 		l->reader_since_us = now_us;
@@ -300,50 +305,55 @@
 
 /* Skips a source that was of no use, because its state was stale or it did not answer, and chooses the next
  * one. */
-static void skip_source_(BH__Looks *l, bool stale, uint64_t now_us)
+static void skip_source_(BH__PlatformSync *l, bool stale, uint64_t now_us)
 {
-	bool was_unavailable = bh__source_is_platform_away(&l->source);
+	bool was_unavailable = bh__sync_source_is_platform_unavailable(&l->source);
 	bool is_unavailable;
 
-	if (!l->lost_since_us) /* a search asks about four nodes a second: only its start and end are logged */
-		l->port->said(l->port, stale ? BH__LOOKS_FOUND_STALE : BH__LOOKS_FOUND_SILENT, l->source.node);
+	if (!l->out_of_sync_since_us) /* a search asks about four nodes a second: only its start and end are
+									 logged */
+		l->port->report_event(l->port,
+							  stale ? BH__PLATFORM_SYNC_SOURCE_STALE : BH__PLATFORM_SYNC_SOURCE_SILENT,
+							  l->source.node);
 	if (stale)
-		bh__source_note_stale(&l->source, now_us);
+		bh__sync_source_note_stale(&l->source, now_us);
 	else
-		bh__source_note_silent(&l->source, now_us);
-	is_unavailable = bh__source_is_platform_away(&l->source);
+		bh__sync_source_note_unresponsive(&l->source, now_us);
+	is_unavailable = bh__sync_source_is_platform_unavailable(&l->source);
 	if (stale && is_unavailable)
-		bh__outage_note_others_lost(&l->outage, now_us);
+		bh__outage_note_others_out_of_sync(&l->outage, now_us);
 	if (!was_unavailable && is_unavailable) {
 		draw_own_read_(l, now_us);
-		l->lost_since_us = now_us;
-		l->port->said(l->port, BH__LOOKS_LOST, l->source.node);
+		l->out_of_sync_since_us = now_us;
+		l->port->report_event(l->port, BH__PLATFORM_SYNC_OUT_OF_SYNC, l->source.node);
 	}
 	l->asked_us = 0;
 	update_source_(l, now_us);
 }
 
 /* Ends the search, and logs it, once the node has fresh state. */
-static void end_search_(BH__Looks *l, uint64_t now_us)
+static void end_search_(BH__PlatformSync *l, uint64_t now_us)
 {
-	if (!l->lost_since_us || bh__source_is_platform_away(&l->source) || !is_fresh_(l, now_us))
+	if (!l->out_of_sync_since_us || bh__sync_source_is_platform_unavailable(&l->source) ||
+		!is_fresh_(l, now_us))
 		return;
-	l->lost_since_us = 0;
-	l->port->said(l->port, BH__LOOKS_FOUND, l->source.node);
+	l->out_of_sync_since_us = 0;
+	l->port->report_event(l->port, BH__PLATFORM_SYNC_RESYNCED, l->source.node);
 }
 
 /* Draws the time of this node's next own read while the platform is unavailable. */
-static void draw_own_read_(BH__Looks *l, uint64_t now_us)
+static void draw_own_read_(BH__PlatformSync *l, uint64_t now_us)
 {
-	uint64_t random = bh__hash_pair(bh__hash_pair(l->options.draw, bh__members_get_self(l->members)->node_id),
-									++l->draw_count);
+	uint64_t random = bh__hash_pair(
+		bh__hash_pair(l->options.random_seed, bh__members_get_self(l->members)->node_id), ++l->draw_count);
 
-	l->next_own_us = now_us + bh__source_get_look_wait_us(l->members, l->options.away_looks_per_s, random);
+	l->next_own_read_us =
+		now_us + bh__sync_source_get_read_delay_us(l->members, l->options.unavailable_reads_per_s, random);
 }
 
 /* Reads the platform if this node is the reader, has just started, or gets no fresh state from other nodes.
  */
-static void read_platform_(BH__Looks *l, uint64_t now_us)
+static void read_platform_(BH__PlatformSync *l, uint64_t now_us)
 {
 	if (l->reader_since_us) {
 		read_as_reader_(l, now_us);
@@ -358,62 +368,63 @@
 
 /* Reads as the reader, once per period. While the endpoints read is not answered the configuration is not
  * read: the endpoints reads are enough to notice that the platform is back. */
-static void read_as_reader_(BH__Looks *l, uint64_t now_us)
+static void read_as_reader_(BH__PlatformSync *l, uint64_t now_us)
 {
-	BH__LooksConfiguration c = l->port->get_configuration(l->port);
-	bool has_answer = c.version || c.none_us;
+	BH__PlatformSyncConfiguration c = l->port->get_configuration(l->port);
+	bool has_answer = c.version || c.absent_read_us;
 	bool is_unavailable = l->endpoints_schedule.sent_us && l->as_of_us < l->endpoints_schedule.sent_us;
 	uint64_t configuration_us = has_answer ? configuration_period_us_(l) : STARTUP_PERIOD_US_;
 	uint64_t endpoints_us = l->as_of_us ? endpoints_period_us_(l) : STARTUP_PERIOD_US_;
 
-	if (!is_unavailable &&
-		bh__look_process(&l->configuration_schedule, configuration_us, c.looked_us, true, now_us))
-		l->port->look_at_configuration(l->port);
-	if (bh__look_process(&l->endpoints_schedule, endpoints_us, l->as_of_us, true, now_us))
+	if (!is_unavailable && bh__read_schedule_process(&l->configuration_schedule, configuration_us,
+													 c.platform_read_us, true, now_us))
+		l->port->read_configuration(l->port);
+	if (bh__read_schedule_process(&l->endpoints_schedule, endpoints_us, l->as_of_us, true, now_us))
 		read_endpoints_(l, 0, now_us);
 	if (!l->last_read_failed) /* else the searching nodes notice that the store is back */
 		resend_endpoints_read_(l, now_us);
 }
 
 /* Makes a reader that the platform does not answer ask other nodes too. */
-static void ask_others_as_reader_(BH__Looks *l, uint64_t now_us)
+static void ask_others_as_reader_(BH__PlatformSync *l, uint64_t now_us)
 {
 	bool has_failed = is_reader_out_of_sync_(l) && l->read_failed_us >= l->reader_since_us;
 	bool is_old = !is_fresh_(l, now_us) && now_us >= l->reader_since_us + endpoints_max_age_us_(l);
 
-	if (!bh__source_asks(&l->source, l->members) && (has_failed || is_old) &&
+	if (!bh__sync_source_asks(&l->source, l->members) && (has_failed || is_old) &&
 		bh__members_get_count(l->members) > 1)
 		skip_source_(l, true, now_us);
 }
 
 /* Returns true if this node's last endpoints read was answered and it has merged no other node's read since.
  */
-static bool has_own_answer_(const BH__Looks *l)
+static bool has_own_answer_(const BH__PlatformSync *l)
 {
 	return !l->remote_reader && l->endpoints_schedule.sent_us && l->as_of_us >= l->endpoints_schedule.sent_us;
 }
 
 /* Takes over as the reader for all nodes if the platform answers this node and it knows no other reader, or
  * if this node is a reader that is answered again. */
-static void take_over_(BH__Looks *l, uint64_t now_us)
+static void take_over_(BH__PlatformSync *l, uint64_t now_us)
 {
 	bool reads = l->reader_since_us && l->last_read_failed;
 
 	if (!has_own_answer_(l) || !is_fresh_(l, now_us))
 		return;
-	if (bh__source_take_over(&l->source, l->members, reads, now_us)) {
-		l->port->said(l->port, BH__LOOKS_TOOK_OVER, bh__members_get_self(l->members)->node_id);
+	if (bh__sync_source_take_over(&l->source, l->members, reads, now_us)) {
+		l->port->report_event(l->port, BH__PLATFORM_SYNC_TOOK_OVER,
+							  bh__members_get_self(l->members)->node_id);
 		notify_children_(l, bh__members_get_self(l->members)->node_id);
 	}
 	l->last_read_failed = false;
 }
 
 /* Notifies this node's children in the tree of who reads the platform. */
-static void notify_children_(BH__Looks *l, uint64_t reader)
+static void notify_children_(BH__PlatformSync *l, uint64_t reader)
 {
 	BH__Message notice = {.type = BH__MESSAGE_READER};
-	uint64_t child[BH__SOURCE_NEXT_MAX];
-	unsigned count = bh__source_list_next(l->members, reader, child);
+	uint64_t child[BH__SYNC_SOURCE_CHILDREN_MAX];
+	unsigned count = bh__sync_source_list_children(l->members, reader, child);
 
 	notice.as.sync.reader = reader;
 	for (unsigned i = 0; i < count; i++)
@@ -422,39 +433,40 @@
 
 /* Handles a notice of which node reads the platform for all. If this node accepts it, it notifies its
  * children and asks accordingly from now on. */
-void bh__looks_process_reader(BH__Looks *l, const BH__Message *m, uint64_t now_us)
+void bh__platform_sync_process_reader(BH__PlatformSync *l, const BH__Message *m, uint64_t now_us)
 {
-	if (!bh__source_note_reader(&l->source, l->members, m->as.sync.reader, m->from_node, now_us))
+	if (!bh__sync_source_note_reader(&l->source, l->members, m->as.sync.reader, m->from_node, now_us))
 		return;
 	notify_children_(l, m->as.sync.reader);
 	l->asked_us = 0;
 	update_source_(l, now_us);
-	if (bh__source_asks(&l->source, l->members))
+	if (bh__sync_source_asks(&l->source, l->members))
 		ask_source_(l, now_us);
 }
 
 /* Returns true if the configuration is old enough that a node other than the reader reads it itself. */
-static bool is_configuration_old_(const BH__Looks *l, uint64_t now_us)
+static bool is_configuration_old_(const BH__PlatformSync *l, uint64_t now_us)
 {
-	BH__LooksConfiguration c = l->port->get_configuration(l->port);
+	BH__PlatformSyncConfiguration c = l->port->get_configuration(l->port);
 	uint64_t bound_us = l->options.configuration_ms * BH__MS_US;
-	uint64_t max_age_us = bh__look_get_old_us(bound_us, configuration_period_us_(l), has_own_answer_(l));
+	uint64_t max_age_us =
+		bh__read_schedule_get_max_age_us(bound_us, configuration_period_us_(l), has_own_answer_(l));
 
-	return now_us >= MAX(c.looked_us, c.none_us) + max_age_us;
+	return now_us >= MAX(c.platform_read_us, c.absent_read_us) + max_age_us;
 }
 
 /* Reads the endpoints if this node, which is not the reader and has no fresh endpoints, gets no answer from
  * peers, or gets only stale state and its own read is due. */
-static void read_endpoints_as_non_reader_(BH__Looks *l, uint64_t now_us)
+static void read_endpoints_as_non_reader_(BH__PlatformSync *l, uint64_t now_us)
 {
 	uint64_t period_us = endpoints_period_us_(l);
-	bool is_unavailable = bh__source_is_platform_away(&l->source);
+	bool is_unavailable = bh__sync_source_is_platform_unavailable(&l->source);
 
-	if (bh__source_is_cut_off(&l->source)) {
-		if (bh__look_process(&l->endpoints_schedule, period_us, l->as_of_us, false, now_us))
+	if (bh__sync_source_is_isolated(&l->source)) {
+		if (bh__read_schedule_process(&l->endpoints_schedule, period_us, l->as_of_us, false, now_us))
 			read_endpoints_(l, 0, now_us);
 	}
-	else if (is_unavailable && now_us >= l->next_own_us) {
+	else if (is_unavailable && now_us >= l->next_own_read_us) {
 		draw_own_read_(l, now_us);
 		l->endpoints_schedule.sent_us = now_us;
 		read_endpoints_(l, OWN_READ_TIMEOUT_US_, now_us);
@@ -463,49 +475,50 @@
 
 /* Reads the configuration on a node that is not the reader, if that is due. The caller has made sure that the
  * platform answers reads of the endpoints. */
-static void read_configuration_as_non_reader_(BH__Looks *l, uint64_t now_us)
+static void read_configuration_as_non_reader_(BH__PlatformSync *l, uint64_t now_us)
 {
-	BH__LooksConfiguration c = l->port->get_configuration(l->port);
+	BH__PlatformSyncConfiguration c = l->port->get_configuration(l->port);
 
-	if (bh__look_process(&l->configuration_schedule, configuration_period_us_(l), c.looked_us, false, now_us))
-		l->port->look_at_configuration(l->port);
+	if (bh__read_schedule_process(&l->configuration_schedule, configuration_period_us_(l), c.platform_read_us,
+								  false, now_us))
+		l->port->read_configuration(l->port);
 }
 
 /* Starts an endpoints read with a time-out of `limit_us`; 0: the usual one. */
-static void read_endpoints_(BH__Looks *l, uint64_t limit_us, uint64_t now_us)
+static void read_endpoints_(BH__PlatformSync *l, uint64_t limit_us, uint64_t now_us)
 {
 	l->remote_reader = 0;
 	if (!l->read_sent_us)
 		l->read_sent_us = now_us;
-	l->port->look_at_endpoints(l->port, limit_us);
+	l->port->read_endpoints(l->port, limit_us);
 }
 
 /* Sends the endpoints read in progress again if its answer is late. A read that the store or the link has
  * lost would keep the reader, until its time-out, from noticing that the store answers. A store that is known
  * to answer slowly gets only one read. The late answer is recorded as evidence of an outage in which entries
  * may have expired, because an answer to the second sending leaves no failed read behind. */
-static void resend_endpoints_read_(BH__Looks *l, uint64_t now_us)
+static void resend_endpoints_read_(BH__PlatformSync *l, uint64_t now_us)
 {
 	uint64_t wait_us =
 		MAX(RESEND_US_, bh__answer_time_get_longest_us(&l->store_answer_time, EXPECTED_ANSWER_US_));
 
 	if (!l->read_sent_us || now_us < l->read_sent_us + wait_us)
 		return;
-	bh__outage_note_failed(&l->outage, l->read_sent_us, wait_us, now_us);
+	bh__outage_note_read_failed(&l->outage, l->read_sent_us, wait_us, now_us);
 	l->read_sent_us = 0;
-	if (!l->port->look_at_endpoints_again(l->port))
+	if (!l->port->resend_endpoints_read(l->port))
 		return;
 	l->read_sent_us = now_us;
-	l->port->said(l->port, BH__LOOKS_LOOKED_AGAIN, bh__members_get_self(l->members)->node_id);
+	l->port->report_event(l->port, BH__PLATFORM_SYNC_READ_RESENT, bh__members_get_self(l->members)->node_id);
 }
 
 /* Asks the source. It may hold the request for one reader's period, for a short time during a search or while
  * this node lacks state, and not at all after another source was of no use. */
-static void ask_source_(BH__Looks *l, uint64_t now_us)
+static void ask_source_(BH__PlatformSync *l, uint64_t now_us)
 {
 	uint64_t hold_us = 0;
 
-	if (bh__source_is_hurried(&l->source, l->members, now_us) ||
+	if (bh__sync_source_needs_short_hold(&l->source, l->members, now_us) ||
 		!l->port->get_configuration(l->port).version || !l->as_of_us)
 		hold_us = SEARCH_HOLD_US_;
 	else if (!l->source.unresponsive_count && !l->source.stale_count)
@@ -514,7 +527,7 @@
 }
 
 /* Sends a request to a node, which may hold it for `hold_us`. */
-static void send_request_(BH__Looks *l, uint64_t node, uint64_t hold_us, uint64_t now_us)
+static void send_request_(BH__PlatformSync *l, uint64_t node, uint64_t hold_us, uint64_t now_us)
 {
 	BH__Message m = {.type = BH__MESSAGE_SYNC_ASK};
 	uint64_t version = l->port->get_configuration(l->port).version;
@@ -524,9 +537,9 @@
 	l->answer_by_us = now_us + hold_us + ANSWER_TIMEOUT_US_;
 	m.as.sync.asked_us = now_us;
 	m.as.sync.hold_time_us = hold_us;
-	m.as.sync.platform_unavailable = bh__source_is_platform_away(&l->source);
+	m.as.sync.platform_unavailable = bh__sync_source_is_platform_unavailable(&l->source);
 	m.as.sync.configuration_version = MAX(version, l->rejected_version);
-	m.as.sync.place = bh__registry_get_place(l->registry);
+	m.as.sync.store_version = bh__registry_get_place(l->registry);
 	m.as.sync.era_start = bh__registry_get_era_start(l->registry);
 	m.as.sync.registry_age_us = now_us - l->as_of_us;
 	add_halls_(l, &m);
@@ -535,7 +548,7 @@
 
 /* Adds all known hall drain states to a message. They are few, so both the request and the answer carry all
  * of them, and it does not matter which of the two nodes has more. */
-static void add_halls_(const BH__Looks *l, BH__Message *m)
+static void add_halls_(const BH__PlatformSync *l, BH__Message *m)
 {
 	m->as.sync.hall_count = bh__registry_get_hall_count(l->registry);
 	if (m->as.sync.hall_count)
@@ -543,7 +556,7 @@
 }
 
 /* Merges the hall drain states of another node into the registry. */
-static void merge_halls_(BH__Looks *l, const BH__Message *m, uint64_t now_us)
+static void merge_halls_(BH__PlatformSync *l, const BH__Message *m, uint64_t now_us)
 {
 	uint64_t old_version = bh__registry_get_halls_version(l->registry);
 
@@ -551,18 +564,18 @@
 		bh__registry_put_hall(l->registry, m->as.sync.hall[i].name, m->as.sync.hall[i].draining,
 							  m->as.sync.hall[i].changed, now_us);
 	if (bh__registry_get_halls_version(l->registry) != old_version)
-		l->port->learnt(l->port);
+		l->port->merged(l->port);
 }
 
 /* Handles the request of another node: answers it if there is an update, or else holds it. */
-void bh__looks_process_ask(BH__Looks *l, const BH__Message *ask, uint64_t now_us)
+void bh__platform_sync_process_ask(BH__PlatformSync *l, const BH__Message *ask, uint64_t now_us)
 {
 	HeldRequest_ q = {.node = ask->from_node,
 					  .asked_us = ask->as.sync.asked_us,
 					  .received_us = now_us,
 					  .answer_by_us = now_us + MIN(ask->as.sync.hold_time_us, HOLD_MAX_US_),
 					  .configuration_version = ask->as.sync.configuration_version,
-					  .place = ask->as.sync.place,
+					  .store_version = ask->as.sync.store_version,
 					  .knows_unavailable = ask->as.sync.platform_unavailable,
 					  .as_of_us = now_us - MIN(now_us, ask->as.sync.registry_age_us)};
 
@@ -582,9 +595,9 @@
 /* Asks the asker for its configuration if that is later than this node's. The platform, which this node has
  * read, was then restored from a backup. Without this, a reader that had started from the backup accepted
  * a key again that had been revoked before. */
-static void ask_newer_node_(BH__Looks *l, const HeldRequest_ *q, uint64_t now_us)
+static void ask_newer_node_(BH__PlatformSync *l, const HeldRequest_ *q, uint64_t now_us)
 {
-	BH__LooksConfiguration c = l->port->get_configuration(l->port);
+	BH__PlatformSyncConfiguration c = l->port->get_configuration(l->port);
 
 	if (c.version && q->configuration_version > MAX(c.version, l->rejected_version) && !l->asked_us)
 		send_request_(l, q->node, 0, now_us);
@@ -592,11 +605,11 @@
 
 /* Returns true if a request must be answered now: its hold time is over, or there is an update for the asker.
  */
-static bool has_update_(const BH__Looks *l, const HeldRequest_ *q, uint64_t now_us)
+static bool has_update_(const BH__PlatformSync *l, const HeldRequest_ *q, uint64_t now_us)
 {
-	BH__LooksConfiguration c = l->port->get_configuration(l->port);
+	BH__PlatformSyncConfiguration c = l->port->get_configuration(l->port);
 	bool is_older = l->as_of_us <= q->as_of_us;
-	bool differs = bh__place_is_after(bh__registry_get_changed_place(l->registry), q->place);
+	bool differs = bh__store_version_is_after(bh__registry_get_changed_place(l->registry), q->store_version);
 
 	if (now_us >= q->answer_by_us || c.version > q->configuration_version)
 		return true;
@@ -610,7 +623,7 @@
 
 /* Handles new state of this node: takes over as the reader if that is due, and answers the held requests for
  * which there is an update. */
-void bh__looks_process_news(BH__Looks *l, uint64_t now_us)
+void bh__platform_sync_process_update(BH__PlatformSync *l, uint64_t now_us)
 {
 	take_over_(l, now_us);
 	for (guint i = l->held->len; i-- > 0;) {
@@ -624,9 +637,9 @@
 
 /* Answers a request with this node's configuration, endpoints and hall drain states, as far as the asker
  * lacks them. */
-static void answer_request_(BH__Looks *l, const HeldRequest_ *q, uint64_t now_us)
+static void answer_request_(BH__PlatformSync *l, const HeldRequest_ *q, uint64_t now_us)
 {
-	BH__LooksConfiguration c = l->port->get_configuration(l->port);
+	BH__PlatformSyncConfiguration c = l->port->get_configuration(l->port);
 	BH__Message m = {.type = BH__MESSAGE_SYNC};
 	GArray *facts = g_array_new(FALSE, FALSE, sizeof(BH__EndpointFact));
 	GArray *departures = g_array_new(FALSE, FALSE, sizeof(BH__EndpointDeparture));
@@ -634,10 +647,10 @@
 	m.as.sync.asked_us = q->asked_us;
 	m.as.sync.hold_time_us = now_us - q->received_us;
 	m.as.sync.configuration_version = c.version;
-	m.as.sync.configuration_age_us = now_us - c.looked_us;
+	m.as.sync.configuration_age_us = now_us - c.platform_read_us;
 	if (m.as.sync.configuration_version > q->configuration_version)
 		m.as.sync.configuration = *packed_configuration_(l, c.version);
-	m.as.sync.place = bh__registry_get_place(l->registry);
+	m.as.sync.store_version = bh__registry_get_place(l->registry);
 	m.as.sync.era_start = bh__registry_get_era_start(l->registry);
 	m.as.sync.registry_age_us = now_us - l->as_of_us;
 	m.as.sync.reader = l->remote_reader ? l->remote_reader : bh__members_get_self(l->members)->node_id;
@@ -654,7 +667,7 @@
 }
 
 /* Returns the current configuration, packed once for all askers. */
-static const BH__PackedText *packed_configuration_(BH__Looks *l, uint64_t version)
+static const BH__PackedText *packed_configuration_(BH__PlatformSync *l, uint64_t version)
 {
 	if (l->packed_version != version) {
 		bh__packed_text_set(&l->packed, l->port->get_configuration_text(l->port));
@@ -665,14 +678,14 @@
 
 /* Adds the changes of endpoints that the asker lacks, or the whole table, with `whole` set, if the changes
  * since the asker's version are no longer known. A node without endpoints adds nothing. */
-static void add_facts_(const BH__Looks *l, const HeldRequest_ *q, uint64_t now_us, GArray *facts,
+static void add_facts_(const BH__PlatformSync *l, const HeldRequest_ *q, uint64_t now_us, GArray *facts,
 					   GArray *departures, bool *is_complete)
 {
 	const BH__Registry *r = l->registry;
 
 	*is_complete = false;
-	if (bh__place_is_start(bh__registry_get_place(r)) ||
-		bh__registry_list_changes(r, q->place, now_us, facts, departures))
+	if (bh__store_version_is_zero(bh__registry_get_place(r)) ||
+		bh__registry_list_changes(r, q->store_version, now_us, facts, departures))
 		return;
 	*is_complete = true;
 	for (unsigned i = 0; i < bh__registry_get_count(r); i++)
@@ -681,7 +694,7 @@
 
 /* Handles the answer of a source. The ages in it count back from the send time of the request plus the time
  * for which the source held it. */
-void bh__looks_process_answer(BH__Looks *l, const BH__Message *m, uint64_t now_us)
+void bh__platform_sync_process_answer(BH__PlatformSync *l, const BH__Message *m, uint64_t now_us)
 {
 	uint64_t answered_us = MIN(m->as.sync.asked_us + m->as.sync.hold_time_us, now_us);
 	uint64_t registry_read_us = answered_us - MIN(answered_us, m->as.sync.registry_age_us);
@@ -694,29 +707,29 @@
 	if (l->asks_newer_node)
 		return;
 	if (m->as.sync.platform_unavailable ||
-		!bh__source_is_young(&l->source, m->as.sync.registry_age_us, endpoints_max_age_us_(l),
-							 endpoints_period_us_(l))) {
+		!bh__sync_source_is_fresh_enough(&l->source, m->as.sync.registry_age_us, endpoints_max_age_us_(l),
+										 endpoints_period_us_(l))) {
 		skip_source_(l, true, now_us);
 	}
 	else {
-		bh__source_note_useful(&l->source, m->as.sync.reader, now_us);
+		bh__sync_source_note_useful(&l->source, m->as.sync.reader, now_us);
 		merge_facts_(l, m, registry_read_us, now_us);
 	}
 	update_source_(l, now_us);
-	if (bh__source_asks(&l->source, l->members))
+	if (bh__sync_source_asks(&l->source, l->members))
 		ask_source_(l, now_us);
 }
 
-/* Applies or confirms the configuration in an answer, which a platform read begun at `looked_us` returned. An
- * invalid one is remembered so that it is not requested again. */
-static void apply_configuration_(BH__Looks *l, const BH__Message *m, uint64_t looked_us)
+/* Applies or confirms the configuration in an answer, which a platform read begun at `platform_read_us`
+ * returned. An invalid one is remembered so that it is not requested again. */
+static void apply_configuration_(BH__PlatformSync *l, const BH__Message *m, uint64_t platform_read_us)
 {
 	uint64_t version = l->port->get_configuration(l->port).version;
 	uint64_t received_version = m->as.sync.configuration_version;
 	char *text;
 
 	if (received_version == version && version)
-		l->port->confirm_configuration(l->port, looked_us);
+		l->port->confirm_configuration(l->port, platform_read_us);
 	if (!m->as.sync.configuration.len || received_version <= version)
 		return;
 	text = bh__packed_text_open(&m->as.sync.configuration);
@@ -724,40 +737,42 @@
 						 &m->as.sync.configuration); /* nodes that ask this one get it unchanged */
 	l->packed_version = received_version;
 	if (!text)
-		l->port->said(l->port, BH__LOOKS_FOUND_DAMAGED, m->from_node);
-	if (!text || !l->port->take_configuration(l->port, text, looked_us))
+		l->port->report_event(l->port, BH__PLATFORM_SYNC_SOURCE_DAMAGED, m->from_node);
+	if (!text || !l->port->take_configuration(l->port, text, platform_read_us))
 		l->rejected_version = received_version;
 	g_free(text);
 }
 
-/* Merges a source's endpoints, which a platform read begun at `looked_us` returned, into the registry. They
- * count as this node's state as of that read only if the source's store version is not older than this
+/* Merges a source's endpoints, which a platform read begun at `platform_read_us` returned, into the registry.
+ * They count as this node's state as of that read only if the source's store version is not older than this
  * node's. */
-static void merge_facts_(BH__Looks *l, const BH__Message *m, uint64_t looked_us, uint64_t now_us)
+static void merge_facts_(BH__PlatformSync *l, const BH__Message *m, uint64_t platform_read_us,
+						 uint64_t now_us)
 {
 	BH__Registry *r = l->registry;
-	BH__Place place = m->as.sync.place;
+	BH__StoreVersion store_version = m->as.sync.store_version;
 	unsigned was_count = bh__registry_get_count(r);
-	bool is_behind = bh__place_is_after(bh__registry_get_place(r), place);
+	bool is_behind = bh__store_version_is_after(bh__registry_get_place(r), store_version);
 
-	if (bh__place_is_start(place))
+	if (bh__store_version_is_zero(store_version))
 		return;
-	bh__registry_begin_era(r, m->as.sync.era_start.era == place.era ? m->as.sync.era_start : place);
+	bh__registry_begin_era(r, m->as.sync.era_start.era == store_version.era ? m->as.sync.era_start
+																			: store_version);
 	for (uint32_t i = 0; i < m->as.sync.count; i++)
-		bh__registry_put_fact(r, &m->as.sync.fact[i], place, now_us);
+		bh__registry_put_fact(r, &m->as.sync.fact[i], store_version, now_us);
 	for (uint32_t i = 0; i < m->as.sync.gone_count; i++)
-		bh__registry_put_departure(r, &m->as.sync.gone[i], place);
+		bh__registry_put_departure(r, &m->as.sync.gone[i], store_version);
 	if (m->as.sync.is_complete)
 		remove_unlisted_(r, m, now_us);
-	bh__registry_set_place(r, place);
+	bh__registry_set_place(r, store_version);
 	if (m->as.sync.count || m->as.sync.gone_count)
-		l->port->was_told(l->port, m, was_count);
+		l->port->report_received(l->port, m, was_count);
 	if (is_behind)
 		return;
-	if (looked_us > l->as_of_us)
+	if (platform_read_us > l->as_of_us)
 		l->remote_reader = m->as.sync.reader;
-	note_as_of_(l, looked_us);
-	l->port->learnt(l->port);
+	note_as_of_(l, platform_read_us);
+	l->port->merged(l->port);
 }
 
 /* Removes the endpoints that a source's whole table does not list. They are gone as of its store version. */
@@ -769,6 +784,6 @@
 		uint64_t id = bh__hash_name(m->as.sync.fact[i].entry.id);
 		g_hash_table_add(ids, g_memdup2(&id, sizeof id));
 	}
-	bh__registry_keep_only(r, ids, m->as.sync.place, now_us);
+	bh__registry_keep_only(r, ids, m->as.sync.store_version, now_us);
 	g_hash_table_unref(ids);
 }
--- a/src/libbayhoist/look.c
+++ b/src/libbayhoist/read_schedule.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
 /* Schedule of platform reads with exponential backoff. */
-#include "bayhoist/look.h"
+#include "bayhoist/read_schedule.h"
 
 #include <glib.h>
 
@@ -13,7 +13,7 @@
  * (`reads_itself`), because no peer sent them, does not receive the configuration from peers either: it reads
  * once per `period_us`, as the reader does. With the whole bound as maximum age, nodes without peers applied
  * a change 60 ms too late. */
-uint64_t bh__look_get_old_us(uint64_t bound_us, uint64_t period_us, bool reads_itself)
+uint64_t bh__read_schedule_get_max_age_us(uint64_t bound_us, uint64_t period_us, bool reads_itself)
 {
 	return reads_itself ? period_us : (uint64_t)((double)bound_us * MAX_AGE_SHARE_);
 }
@@ -21,7 +21,8 @@
 /* Returns true if a read is due at `now_us`, and then records it as sent. `answered_us` is the send time of
  * the latest read that was answered. With `steady`, reads are sent once per period without backoff, because
  * the store is known to answer other nodes or because other nodes depend on this one. */
-bool bh__look_process(BH__Look *l, uint64_t period_us, uint64_t answered_us, bool steady, uint64_t now_us)
+bool bh__read_schedule_process(BH__ReadSchedule *l, uint64_t period_us, uint64_t answered_us, bool steady,
+							   uint64_t now_us)
 {
 	bool failed = l->sent_us && answered_us < l->sent_us;
 
@@ -30,7 +31,7 @@
 	if (l->sent_us && now_us < l->sent_us + MAX(l->backoff_us, period_us))
 		return false;
 	if (failed)
-		l->backoff_us = MIN(l->backoff_us * 2, BH__LOOK_BACKOFF_MAX_US);
+		l->backoff_us = MIN(l->backoff_us * 2, BH__READ_SCHEDULE_BACKOFF_MAX_US);
 	l->sent_us = now_us;
 	return true;
 }
--- a/src/libbayhoist/registry.c
+++ b/src/libbayhoist/registry.c
@@ -18,12 +18,12 @@
 #define COLD_DIFFERS_US_ BH__SECOND_US
 
 static bool merge_(BH__Registry *r, uint64_t id, const BH__EndpointEntry *entry, const BH__EndpointPast *told,
-				   uint64_t gone_at_us, BH__Place as_of);
+				   uint64_t gone_at_us, BH__StoreVersion as_of);
 static bool merge_known_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry,
-						 const BH__EndpointPast *told, uint64_t gone_at_us, BH__Place as_of);
+						 const BH__EndpointPast *told, uint64_t gone_at_us, BH__StoreVersion as_of);
 static void note_silent_change_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointPast *before,
-								BH__Place as_of);
-static BH__Place note_change_(BH__Registry *r, BH__Place as_of);
+								BH__StoreVersion as_of);
+static BH__StoreVersion note_change_(BH__Registry *r, BH__StoreVersion as_of);
 static bool is_entry_later_(const BH__EndpointPast *known, const BH__EndpointPast *told);
 static void join_(BH__EndpointPast *past, const BH__EndpointPast *told);
 static bool is_gone_(const BH__EndpointPast *past);
@@ -32,7 +32,8 @@
 							 const BH__EndpointEntry *is);
 static BH__RegisteredEndpoint *add_(BH__Registry *r, uint64_t id);
 static void take_entry_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry);
-static void merge_departed_(BH__Registry *r, uint64_t id, const BH__EndpointPast *past, BH__Place as_of);
+static void merge_departed_(BH__Registry *r, uint64_t id, const BH__EndpointPast *past,
+							BH__StoreVersion as_of);
 static void depart_(BH__Registry *r, BH__RegisteredEndpoint *e);
 static void remember_(BH__Registry *r, const BH__EndpointDeparture *departure);
 static void forget_oldest_(BH__Registry *r);
@@ -66,38 +67,39 @@
 }
 
 /* Returns the place in the store's history up to which all changes are in the table. */
-BH__Place bh__registry_get_place(const BH__Registry *r)
+BH__StoreVersion bh__registry_get_place(const BH__Registry *r)
 {
-	return r->place;
+	return r->store_version;
 }
 
 /* Returns the place with which the last change of what is believed was learnt. */
-BH__Place bh__registry_get_changed_place(const BH__Registry *r)
+BH__StoreVersion bh__registry_get_changed_place(const BH__Registry *r)
 {
 	return r->changed;
 }
 
 /* All changes up to a place have been taken, from the store or from a node that knew them. */
-void bh__registry_set_place(BH__Registry *r, BH__Place place)
+void bh__registry_set_place(BH__Registry *r, BH__StoreVersion store_version)
 {
-	r->place = bh__place_max(r->place, place);
+	r->store_version = bh__store_version_max(r->store_version, store_version);
 }
 
 /* The store has come back from a copy, or another node has told so; `start` is the earliest place of the new
  * era that is known. Revisions up to there were given out before, so that entries which show them were
  * written in the era before, and what was learnt after the copy was made holds against them: an endpoint that
  * left does not come back with the copy. */
-void bh__registry_begin_era(BH__Registry *r, BH__Place start)
+void bh__registry_begin_era(BH__Registry *r, BH__StoreVersion start)
 {
 	bool is_new = !r->era_count || start.era > r->era[0].start.era;
 
-	if (bh__place_is_start(r->place) || !start.revision || start.era < bh__registry_get_era_start(r).era)
+	if (bh__store_version_is_zero(r->store_version) || !start.revision ||
+		start.era < bh__registry_get_era_start(r).era)
 		return;
-	if (is_new && start.era <= r->place.era)
+	if (is_new && start.era <= r->store_version.era)
 		return;
 	if (is_new) {
 		memmove(&r->era[1], &r->era[0], (BH__ERAS_KEPT - 1) * sizeof r->era[0]);
-		r->era[0] = (BH__EraStart){.start = start, .before = r->place.era};
+		r->era[0] = (BH__EraStart){.start = start, .before = r->store_version.era};
 		r->era_count = MIN(r->era_count + 1, BH__ERAS_KEPT);
 	}
 	else if (start.revision < r->era[0].start.revision) {
@@ -106,14 +108,14 @@
 }
 
 /* Returns where the era of now began, as far as this node has seen it begin. */
-BH__Place bh__registry_get_era_start(const BH__Registry *r)
+BH__StoreVersion bh__registry_get_era_start(const BH__Registry *r)
 {
-	return r->era_count ? r->era[0].start : (BH__Place){0};
+	return r->era_count ? r->era[0].start : (BH__StoreVersion){0};
 }
 
 /* Returns the place at which an entry was written: in an earlier era than that in which it was read, if it is
  * part of the copy that the store came back from. */
-BH__Place bh__registry_written(const BH__Registry *r, BH__Place p)
+BH__StoreVersion bh__registry_written(const BH__Registry *r, BH__StoreVersion p)
 {
 	for (unsigned i = 0; i < r->era_count; i++)
 		if (p.era == r->era[i].start.era && p.revision <= r->era[i].start.revision)
@@ -123,7 +125,8 @@
 
 /* Takes an endpoint's entry, written at the place `listed` and learnt with all else up to `as_of`. Returns
  * true if it changes what is believed. */
-bool bh__registry_put(BH__Registry *r, const BH__EndpointEntry *entry, BH__Place listed, BH__Place as_of)
+bool bh__registry_put(BH__Registry *r, const BH__EndpointEntry *entry, BH__StoreVersion listed,
+					  BH__StoreVersion as_of)
 {
 	BH__EndpointPast told = {.listed = bh__registry_written(r, listed),
 							 .born_ms = entry->born_ms,
@@ -135,18 +138,19 @@
 
 /* An endpoint's entry was gone as of a place: it is taken as gone from `gone_at_us` on, unless it is written
  * again. If that was known, the time that it was given then stays. */
-void bh__registry_remove(BH__Registry *r, uint64_t endpoint_id, BH__Place gone, uint64_t gone_at_us,
-						 BH__Place as_of)
+void bh__registry_remove(BH__Registry *r, uint64_t endpoint_id, BH__StoreVersion gone, uint64_t gone_at_us,
+						 BH__StoreVersion as_of)
 {
 	const BH__RegisteredEndpoint *e = bh__registry_find(r, endpoint_id);
 	BH__EndpointPast told = {.gone = gone};
 
-	if (!e || bh__place_is_after(gone, e->past.gone))
+	if (!e || bh__store_version_is_after(gone, e->past.gone))
 		merge_(r, endpoint_id, NULL, &told, gone_at_us, as_of);
 }
 
 /* Takes what another node tells of an endpoint that it knows. */
-bool bh__registry_put_fact(BH__Registry *r, const BH__EndpointFact *f, BH__Place as_of, uint64_t now_us)
+bool bh__registry_put_fact(BH__Registry *r, const BH__EndpointFact *f, BH__StoreVersion as_of,
+						   uint64_t now_us)
 {
 	BH__EndpointPast told = f->past;
 	BH__EndpointEntry entry = f->entry;
@@ -158,7 +162,7 @@
 }
 
 /* Takes what another node tells of an endpoint that is gone. */
-void bh__registry_put_departure(BH__Registry *r, const BH__EndpointDeparture *d, BH__Place as_of)
+void bh__registry_put_departure(BH__Registry *r, const BH__EndpointDeparture *d, BH__StoreVersion as_of)
 {
 	BH__EndpointPast told = d->past;
 
@@ -174,13 +178,13 @@
 {
 	BH__EndpointPast told = {.drained = true, .drained_born_ms = born_ms};
 
-	return merge_(r, endpoint_id, NULL, &told, 0, (BH__Place){0});
+	return merge_(r, endpoint_id, NULL, &told, 0, (BH__StoreVersion){0});
 }
 
 /* A whole list was read, of the store or of another node, which holds as of a place: endpoints whose ids
  * (uint64_t) are not in `ids`, and of which nothing later is known, were gone by then. Of those that are
  * known to be gone it says nothing new. */
-void bh__registry_keep_only(BH__Registry *r, GHashTable *ids, BH__Place as_of, uint64_t gone_at_us)
+void bh__registry_keep_only(BH__Registry *r, GHashTable *ids, BH__StoreVersion as_of, uint64_t gone_at_us)
 {
 	for (guint i = 0; i < r->table->len; i++) {
 		BH__RegisteredEndpoint *e = bh__registry_get(r, i);
@@ -192,7 +196,7 @@
 /* Merges news of an endpoint into what is known. `entry` NULL: the news is only that it is gone, or was;
  * `gone_at_us` 0: at once. Returns true if what is believed of an endpoint in the table changes. */
 static bool merge_(BH__Registry *r, uint64_t id, const BH__EndpointEntry *entry, const BH__EndpointPast *told,
-				   uint64_t gone_at_us, BH__Place as_of)
+				   uint64_t gone_at_us, BH__StoreVersion as_of)
 {
 	BH__RegisteredEndpoint *e = bh__registry_find(r, id);
 	BH__EndpointDeparture *d = e ? NULL : g_hash_table_lookup(r->departed, &id);
@@ -207,7 +211,7 @@
 		merge_departed_(r, id, &after, as_of);
 		return false;
 	}
-	if (!d && !bh__place_is_start(r->floor) && !bh__place_is_after(told->listed, r->floor))
+	if (!d && !bh__store_version_is_zero(r->floor) && !bh__store_version_is_after(told->listed, r->floor))
 		return false; /* it may be one that is gone and forgotten */
 	e = add_(r, id);
 	if (d)
@@ -222,7 +226,7 @@
 
 /* Merges news of an endpoint in the table, which may have just been added without an entry. */
 static bool merge_known_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry,
-						 const BH__EndpointPast *told, uint64_t gone_at_us, BH__Place as_of)
+						 const BH__EndpointPast *told, uint64_t gone_at_us, BH__StoreVersion as_of)
 {
 	BH__EndpointPast before = e->past;
 	BH__EndpointEntry was = e->entry;
@@ -235,9 +239,9 @@
 	e->entry.draining = drains_(&e->past);
 	if (!is_gone_(&e->past))
 		e->gone_at_us = 0;
-	else if (!was_gone_at_us || bh__place_is_after(e->past.gone, before.gone))
+	else if (!was_gone_at_us || bh__store_version_is_after(e->past.gone, before.gone))
 		e->gone_at_us = MAX(gone_at_us, 1);
-	else if (!bh__place_compare(told->gone, e->past.gone))
+	else if (!bh__store_version_compare(told->gone, e->past.gone))
 		e->gone_at_us = MIN(e->gone_at_us, MAX(gone_at_us, 1));
 	if (!is_new && was_gone_at_us == e->gone_at_us && was.draining == e->entry.draining &&
 		was.born_ms == e->entry.born_ms && !strcmp(was.address, e->entry.address) &&
@@ -261,17 +265,17 @@
 /* An endpoint that went and came back between two looks is used as before, but those who heard that it went
  * must hear that it is back; and one that is listed anew in a new era is known to be there by that. */
 static void note_silent_change_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointPast *before,
-								BH__Place as_of)
+								BH__StoreVersion as_of)
 {
-	if (bh__place_is_after(e->past.gone, before->gone) || e->past.listed.era != before->listed.era)
+	if (bh__store_version_is_after(e->past.gone, before->gone) || e->past.listed.era != before->listed.era)
 		e->learnt = note_change_(r, as_of);
 }
 
 /* Returns the place with which a change is learnt: what comes late, of a place that was thought known, counts
  * as of now. */
-static BH__Place note_change_(BH__Registry *r, BH__Place as_of)
+static BH__StoreVersion note_change_(BH__Registry *r, BH__StoreVersion as_of)
 {
-	r->changed = bh__place_max(r->changed, bh__place_max(as_of, r->place));
+	r->changed = bh__store_version_max(r->changed, bh__store_version_max(as_of, r->store_version));
 	return r->changed;
 }
 
@@ -280,12 +284,12 @@
 {
 	if (told->born_ms != known->born_ms)
 		return told->born_ms > known->born_ms;
-	return bh__place_is_after(told->listed, known->listed);
+	return bh__store_version_is_after(told->listed, known->listed);
 }
 
 static void join_(BH__EndpointPast *past, const BH__EndpointPast *told)
 {
-	past->gone = bh__place_max(past->gone, told->gone);
+	past->gone = bh__store_version_max(past->gone, told->gone);
 	if (is_entry_later_(past, told)) {
 		past->born_ms = told->born_ms;
 		past->listed = told->listed;
@@ -298,7 +302,7 @@
 
 static bool is_gone_(const BH__EndpointPast *past)
 {
-	return bh__place_is_after(past->gone, past->listed);
+	return bh__store_version_is_after(past->gone, past->listed);
 }
 
 /* Returns true if the latest start of an endpoint has said that it leaves. Only a later start takes that
@@ -342,7 +346,8 @@
 }
 
 /* Takes that an endpoint is gone, or remains so. */
-static void merge_departed_(BH__Registry *r, uint64_t id, const BH__EndpointPast *past, BH__Place as_of)
+static void merge_departed_(BH__Registry *r, uint64_t id, const BH__EndpointPast *past,
+							BH__StoreVersion as_of)
 {
 	BH__EndpointDeparture *d = g_hash_table_lookup(r->departed, &id);
 
@@ -351,7 +356,8 @@
 			r, &(BH__EndpointDeparture){.endpoint_id = id, .past = *past, .learnt = note_change_(r, as_of)});
 		return;
 	}
-	if (bh__place_is_after(past->gone, d->past.gone)) /* others may have seen it come back meanwhile */
+	if (bh__store_version_is_after(past->gone,
+								   d->past.gone)) /* others may have seen it come back meanwhile */
 		d->learnt = note_change_(r, as_of);
 	d->past = *past;
 }
@@ -398,31 +404,31 @@
 	g_hash_table_iter_init(&it, r->departed);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		BH__EndpointDeparture *d = value;
-		if (!oldest || bh__place_is_after(oldest->past.gone, d->past.gone))
+		if (!oldest || bh__store_version_is_after(oldest->past.gone, d->past.gone))
 			oldest = d;
 	}
-	r->floor = bh__place_max(r->floor, oldest->past.gone);
-	r->forgotten = bh__place_max(r->forgotten, oldest->learnt);
+	r->floor = bh__store_version_max(r->floor, oldest->past.gone);
+	r->forgotten = bh__store_version_max(r->forgotten, oldest->learnt);
 	g_hash_table_remove(r->departed, &oldest->endpoint_id);
 }
 
 /* Adds to `facts` (BH__EndpointFact) and `departures` (BH__EndpointDeparture) what a node does not know that
  * has all up to a place. Returns false if that cannot be told any more: it is to be told the whole table. */
-bool bh__registry_list_changes(const BH__Registry *r, BH__Place since, uint64_t now_us, GArray *facts,
+bool bh__registry_list_changes(const BH__Registry *r, BH__StoreVersion since, uint64_t now_us, GArray *facts,
 							   GArray *departures)
 {
 	GHashTableIter it;
 	gpointer value;
 
-	if (bh__place_is_start(since) || bh__place_is_after(r->forgotten, since))
+	if (bh__store_version_is_zero(since) || bh__store_version_is_after(r->forgotten, since))
 		return false;
 	for (guint i = 0; i < r->table->len; i++)
-		if (bh__place_is_after(bh__registry_get(r, i)->learnt, since))
+		if (bh__store_version_is_after(bh__registry_get(r, i)->learnt, since))
 			bh__registry_add_fact(r, i, now_us, facts);
 	g_hash_table_iter_init(&it, r->departed);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const BH__EndpointDeparture *d = value;
-		if (bh__place_is_after(d->learnt, since))
+		if (bh__store_version_is_after(d->learnt, since))
 			g_array_append_val(departures, *d);
 	}
 	return true;
--- a/src/libbayhoist/registry_halls.c
+++ b/src/libbayhoist/registry_halls.c
@@ -10,7 +10,7 @@
 static BH__HallDrain *find_(const BH__Registry *r, const char *name);
 static BH__HallDrain *add_(BH__Registry *r, const char *name);
 static void forget_oldest_(BH__Registry *r);
-static void set_(BH__Registry *r, BH__HallDrain *d, bool draining, BH__Place changed, uint64_t now_us);
+static void set_(BH__Registry *r, BH__HallDrain *d, bool draining, BH__StoreVersion changed, uint64_t now_us);
 static void follow_(BH__Registry *r, const char *name, bool draining);
 
 static BH__HallDrain *find_(const BH__Registry *r, const char *name)
@@ -42,7 +42,7 @@
 	for (guint i = 1; i < r->halls->len; i++) {
 		const BH__HallDrain *a = &g_array_index(r->halls, BH__HallDrain, i);
 		const BH__HallDrain *b = &g_array_index(r->halls, BH__HallDrain, oldest);
-		if (a->draining != b->draining ? b->draining : bh__place_is_after(b->changed, a->changed))
+		if (a->draining != b->draining ? b->draining : bh__store_version_is_after(b->changed, a->changed))
 			oldest = i;
 	}
 	follow_(r, g_array_index(r->halls, BH__HallDrain, oldest).name, false);
@@ -51,12 +51,12 @@
 
 /* Takes that a hall drains, or is in use, since a place in the store's history. Returns true if that is news.
  */
-bool bh__registry_put_hall(BH__Registry *r, const char *name, bool draining, BH__Place changed,
+bool bh__registry_put_hall(BH__Registry *r, const char *name, bool draining, BH__StoreVersion changed,
 						   uint64_t now_us)
 {
 	BH__HallDrain *d = find_(r, name);
 
-	if (d && !bh__place_is_after(changed, d->changed))
+	if (d && !bh__store_version_is_after(changed, d->changed))
 		return false;
 	set_(r, d ? d : add_(r, name), draining, changed, now_us);
 	return true;
@@ -64,13 +64,13 @@
 
 /* Takes an entry of the store's list: a hall drains. The entry may be part of the copy that the store came
  * back from. */
-bool bh__registry_read_hall(BH__Registry *r, const char *name, BH__Place written, uint64_t now_us)
+bool bh__registry_read_hall(BH__Registry *r, const char *name, BH__StoreVersion written, uint64_t now_us)
 {
 	return bh__registry_put_hall(r, name, true, bh__registry_written(r, written), now_us);
 }
 
 /* Sets the state of a hall. */
-static void set_(BH__Registry *r, BH__HallDrain *d, bool draining, BH__Place changed, uint64_t now_us)
+static void set_(BH__Registry *r, BH__HallDrain *d, bool draining, BH__StoreVersion changed, uint64_t now_us)
 {
 	bool was = d->draining;
 
@@ -98,18 +98,19 @@
 /* All halls that drain as of a place are named in `names` (texts): others are in use. In a store that came
  * back from a copy what an operator wrote since that was made is missing, and written again: such a hall
  * drains on for as long as that may take. */
-void bh__registry_keep_halls(BH__Registry *r, GHashTable *names, BH__Place as_of, uint64_t now_us)
+void bh__registry_keep_halls(BH__Registry *r, GHashTable *names, BH__StoreVersion as_of, uint64_t now_us)
 {
 	for (guint i = 0; i < r->halls->len; i++) {
 		BH__HallDrain *d = &g_array_index(r->halls, BH__HallDrain, i);
-		if (!d->draining || g_hash_table_contains(names, d->name) || !bh__place_is_after(as_of, d->changed))
+		if (!d->draining || g_hash_table_contains(names, d->name) ||
+			!bh__store_version_is_after(as_of, d->changed))
 			continue;
 		if (as_of.era == d->changed.era) {
 			set_(r, d, false, as_of, now_us);
 			continue;
 		}
 		if (!d->ends_at_us)
-			d->ends_at_us = now_us + BH__OUTAGE_BACK_US;
+			d->ends_at_us = now_us + BH__OUTAGE_GRACE_US;
 		d->ends_place = as_of;
 	}
 }
@@ -173,7 +174,7 @@
 		for (unsigned k = 0; k < count && !told; k++)
 			if (!strcmp(hall[k].name, own->name))
 				told = &hall[k];
-		if (!told || bh__place_is_after(own->changed, told->changed))
+		if (!told || bh__store_version_is_after(own->changed, told->changed))
 			return true;
 	}
 	return false;
--- a/src/libbayhoist/takeover.c
+++ b/src/libbayhoist/takeover.c
@@ -39,7 +39,7 @@
 }
 
 /* Records that a node has reported the grants that it holds, or with `all` the grants that all nodes hold. */
-void bh__takeover_note_told(BH__Takeover *t, uint64_t node_id, bool all, uint64_t now_us)
+void bh__takeover_note_report(BH__Takeover *t, uint64_t node_id, bool all, uint64_t now_us)
 {
 	g_hash_table_replace(t->report_us, g_memdup2(&node_id, sizeof node_id),
 						 g_memdup2(&now_us, sizeof now_us));
--- a/src/test_libbayhoist/fleet.c
+++ b/src/test_libbayhoist/fleet.c
@@ -39,7 +39,7 @@
 typedef struct {
 	bool listed;
 	bool left;
-	BH__Place left_at;
+	BH__StoreVersion left_at;
 	uint64_t back_us; /* 0: its entry is there, or it has left */
 	uint64_t revision;
 } Endpoint;
@@ -59,23 +59,23 @@
 } StoreLook;
 
 typedef struct {
-	BH__LooksPort port; /* first */
+	BH__PlatformSyncPort port; /* first */
 	Fleet *fleet;
 	unsigned index;
 	uint64_t id;
 	BH__Members *members;
 	BH__Registry *registry;
-	BH__Looks *looks;
-	BH__LooksConfiguration configuration;
+	BH__PlatformSync *looks;
+	BH__PlatformSyncConfiguration configuration;
 	bool served;
 	bool is_cut; /* from all other nodes */
 	bool is_cut_from_store;
 	bool watches;
 	uint64_t suspended_until_us;
-	uint64_t suspect_us; /* when all others suspect it; 0: they do not, or have been told */
-	uint32_t refutation; /* times that it has refuted that */
-	StoreLook look[2];   /* at endpoints, at the configuration */
-	uint64_t looked_us;  /* last answer of the store */
+	uint64_t suspect_us;       /* when all others suspect it; 0: they do not, or have been told */
+	uint32_t refutation;       /* times that it has refuted that */
+	StoreLook look[2];         /* at endpoints, at the configuration */
+	uint64_t platform_read_us; /* last answer of the store */
 	uint64_t sent_bytes;
 	unsigned sent_messages;
 	bool *stopped; /* of each endpoint: this node knows that it left, and does not use it */
@@ -114,7 +114,7 @@
 
 enum { ENDPOINTS, CONFIGURATION };
 
-static Node *node_(BH__LooksPort *port)
+static Node *node_(BH__PlatformSyncPort *port)
 {
 	return (Node *)port;
 }
@@ -127,7 +127,7 @@
 	return n->fleet->now_us >= n->suspended_until_us;
 }
 
-static void send_(BH__LooksPort *port, uint64_t node_id, BH__Message *m)
+static void send_(BH__PlatformSyncPort *port, uint64_t node_id, BH__Message *m)
 {
 	Node *n = node_(port);
 	Fleet *f = n->fleet;
@@ -178,17 +178,17 @@
 	send_look_(n, look);
 }
 
-static void look_at_configuration_(BH__LooksPort *port)
+static void look_at_configuration_(BH__PlatformSyncPort *port)
 {
 	begin_look_(node_(port), CONFIGURATION, LOOK_LIMIT_US);
 }
 
-static void look_at_endpoints_(BH__LooksPort *port, uint64_t limit_us)
+static void look_at_endpoints_(BH__PlatformSyncPort *port, uint64_t limit_us)
 {
 	begin_look_(node_(port), ENDPOINTS, limit_us ? limit_us : LOOK_LIMIT_US);
 }
 
-static bool look_at_endpoints_again_(BH__LooksPort *port)
+static bool look_at_endpoints_again_(BH__PlatformSyncPort *port)
 {
 	Node *n = node_(port);
 	StoreLook *look = &n->look[ENDPOINTS];
@@ -199,37 +199,37 @@
 	return true;
 }
 
-static void watch_configuration_(BH__LooksPort *port, bool wanted)
+static void watch_configuration_(BH__PlatformSyncPort *port, bool wanted)
 {
 	node_(port)->watches = wanted;
 }
 
-static BH__LooksConfiguration get_configuration_(BH__LooksPort *port)
+static BH__PlatformSyncConfiguration get_configuration_(BH__PlatformSyncPort *port)
 {
 	return node_(port)->configuration;
 }
 
-static const char *get_configuration_text_(BH__LooksPort *port)
+static const char *get_configuration_text_(BH__PlatformSyncPort *port)
 {
 	(void)port;
 	return "{}";
 }
 
-static bool take_configuration_(BH__LooksPort *port, const char *text, uint64_t looked_us)
+static bool take_configuration_(BH__PlatformSyncPort *port, const char *text, uint64_t platform_read_us)
 {
 	Node *n = node_(port);
 
 	(void)text;
 	n->configuration.version = 1;
-	n->configuration.looked_us = MAX(n->configuration.looked_us, looked_us);
+	n->configuration.platform_read_us = MAX(n->configuration.platform_read_us, platform_read_us);
 	return true;
 }
 
-static void confirm_configuration_(BH__LooksPort *port, uint64_t looked_us)
+static void confirm_configuration_(BH__PlatformSyncPort *port, uint64_t platform_read_us)
 {
 	Node *n = node_(port);
 
-	n->configuration.looked_us = MAX(n->configuration.looked_us, looked_us);
+	n->configuration.platform_read_us = MAX(n->configuration.platform_read_us, platform_read_us);
 }
 
 /* Drops endpoints whose time is over, counts those that are used again, and tells those who wait. */
@@ -248,48 +248,48 @@
 		e = bh__registry_find(n->registry, bh__hash_name(id));
 		usable = e && bh__registered_endpoint_is_usable(e, f->now_us);
 		f->revivals += usable && n->stopped[i];
-		n->stopped[i] =
-			!usable && !bh__place_is_after(f->endpoint[i].left_at, bh__registry_get_place(n->registry));
+		n->stopped[i] = !usable && !bh__store_version_is_after(f->endpoint[i].left_at,
+															   bh__registry_get_place(n->registry));
 	}
 }
 
-static void learnt_(BH__LooksPort *port)
+static void learnt_(BH__PlatformSyncPort *port)
 {
 	Node *n = node_(port);
 
 	follow_registry_(n);
-	bh__looks_process_news(n->looks, n->fleet->now_us);
+	bh__platform_sync_process_update(n->looks, n->fleet->now_us);
 }
 
-static void said_(BH__LooksPort *port, BH__LooksEvent event, uint64_t node_id)
+static void said_(BH__PlatformSyncPort *port, BH__PlatformSyncEvent event, uint64_t node_id)
 {
 	const Node *n = node_(port);
 	const Node *other = g_hash_table_lookup(n->fleet->by_id, &node_id);
 
 	if (getenv("FLEET_TRACE"))
 		fprintf(stderr, "%.3f vm-%u %s vm-%d\n", (double)(n->fleet->now_us - FLEET_START_US) / 1e6, n->index,
-				BH__LooksEventString[event], other ? (int)other->index : -1);
+				BH__PlatformSyncEventString[event], other ? (int)other->index : -1);
 }
 
-static void was_told_(BH__LooksPort *port, const BH__Message *m, unsigned was_count)
+static void was_told_(BH__PlatformSyncPort *port, const BH__Message *m, unsigned was_count)
 {
 	(void)port;
 	(void)m;
 	(void)was_count;
 }
 
-static const BH__LooksPort Port_ = {.send = send_,
-									.look_at_configuration = look_at_configuration_,
-									.look_at_endpoints = look_at_endpoints_,
-									.look_at_endpoints_again = look_at_endpoints_again_,
-									.watch_configuration = watch_configuration_,
-									.get_configuration = get_configuration_,
-									.get_configuration_text = get_configuration_text_,
-									.take_configuration = take_configuration_,
-									.confirm_configuration = confirm_configuration_,
-									.learnt = learnt_,
-									.said = said_,
-									.was_told = was_told_};
+static const BH__PlatformSyncPort Port_ = {.send = send_,
+										   .read_configuration = look_at_configuration_,
+										   .read_endpoints = look_at_endpoints_,
+										   .resend_endpoints_read = look_at_endpoints_again_,
+										   .watch_configuration = watch_configuration_,
+										   .get_configuration = get_configuration_,
+										   .get_configuration_text = get_configuration_text_,
+										   .take_configuration = take_configuration_,
+										   .confirm_configuration = confirm_configuration_,
+										   .merged = learnt_,
+										   .report_event = said_,
+										   .report_received = was_told_};
 
 static BH__MemberInfo describe_(const Fleet *f, unsigned i)
 {
@@ -305,11 +305,11 @@
 static void start_node_(Fleet *f, Node *n, unsigned i)
 {
 	BH__MemberInfo self = describe_(f, i);
-	BH__LooksOptions options = {.endpoint_drain_ms = FLEET_DRAIN_MS,
-								.configuration_ms = FLEET_CONFIGURATION_MS,
-								.away_looks_per_s =
-									f->options.looks_per_s > 0 ? f->options.looks_per_s : FLEET_LOOKS_PER_S,
-								.draw = FLEET_START_US * 1000 + f->options.seed * BH__SECOND_US * 7 + i * 3};
+	BH__PlatformSyncOptions options = {
+		.endpoint_drain_ms = FLEET_DRAIN_MS,
+		.configuration_ms = FLEET_CONFIGURATION_MS,
+		.unavailable_reads_per_s = f->options.looks_per_s > 0 ? f->options.looks_per_s : FLEET_LOOKS_PER_S,
+		.random_seed = FLEET_START_US * 1000 + f->options.seed * BH__SECOND_US * 7 + i * 3};
 
 	n->port = Port_;
 	n->fleet = f;
@@ -319,7 +319,7 @@
 	n->members = bh__members_new(&NullMembersPort, &self, i);
 	bh__members_process_message(n->members, &f->table, FLEET_START_US);
 	n->registry = bh__registry_new(i);
-	n->looks = bh__looks_new(&n->port, &options, n->members, n->registry);
+	n->looks = bh__platform_sync_new(&n->port, &options, n->members, n->registry);
 	n->stopped = g_new0(bool, f->options.endpoints);
 	g_hash_table_insert(f->by_id, &n->id, n);
 }
@@ -363,7 +363,7 @@
 void fleet_delete(Fleet *f)
 {
 	for (unsigned i = 0; i < f->options.nodes; i++) {
-		bh__looks_delete(f->node[i].looks);
+		bh__platform_sync_delete(f->node[i].looks);
 		bh__registry_delete(f->node[i].registry);
 		bh__members_delete(f->node[i].members);
 		g_free(f->node[i].stopped);
@@ -389,12 +389,12 @@
 	return f->now_us;
 }
 
-static BH__Place place_(const Fleet *f, uint64_t revision)
+static BH__StoreVersion place_(const Fleet *f, uint64_t revision)
 {
-	return (BH__Place){.era = f->era, .revision = revision};
+	return (BH__StoreVersion){.era = f->era, .revision = revision};
 }
 
-static void put_(Node *n, unsigned endpoint, uint64_t revision, BH__Place as_of)
+static void put_(Node *n, unsigned endpoint, uint64_t revision, BH__StoreVersion as_of)
 {
 	BH__EndpointEntry e = {.service = "s", .slots = 4, .born_ms = 1};
 
@@ -408,15 +408,15 @@
 static void read_store_(Node *n)
 {
 	Fleet *f = n->fleet;
-	BH__Place from = bh__registry_get_place(n->registry);
-	BH__Place to = place_(f, f->revision);
-	uint64_t gone_at_us = bh__looks_get_gone_at_us(n->looks, f->now_us);
+	BH__StoreVersion from = bh__registry_get_place(n->registry);
+	BH__StoreVersion to = place_(f, f->revision);
+	uint64_t gone_at_us = bh__platform_sync_get_gone_at_us(n->looks, f->now_us);
 
-	if (bh__place_is_start(from) || from.era != f->era) {
+	if (bh__store_version_is_zero(from) || from.era != f->era) {
 		GHashTable *ids = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
 		bh__registry_begin_era(n->registry, to);
-		if (!bh__place_is_start(from))
-			gone_at_us = f->now_us + BH__OUTAGE_BACK_US;
+		if (!bh__store_version_is_zero(from))
+			gone_at_us = f->now_us + BH__OUTAGE_GRACE_US;
 		for (unsigned i = 0; i < f->options.endpoints; i++) {
 			char id[BH__NAME_LEN];
 			uint64_t hash;
@@ -497,22 +497,22 @@
 		return;
 	look->count = 0;
 	if (what == ENDPOINTS)
-		bh__looks_note_lost(n->looks, first_us, look->limit_us, now_us);
+		bh__platform_sync_note_read_failed(n->looks, first_us, look->limit_us, now_us);
 }
 
 /* What the store has answered is known, as of when the look was sent. */
 static void take_look_(Node *n, int what, uint64_t sent_us)
 {
-	n->looked_us = n->fleet->now_us;
+	n->platform_read_us = n->fleet->now_us;
 	if (what == CONFIGURATION) {
 		n->configuration.version = 1;
-		n->configuration.looked_us = MAX(n->configuration.looked_us, sent_us);
+		n->configuration.platform_read_us = MAX(n->configuration.platform_read_us, sent_us);
 		read_halls_(n);
-		bh__looks_process_news(n->looks, n->fleet->now_us);
+		bh__platform_sync_process_update(n->looks, n->fleet->now_us);
 		return;
 	}
 	read_store_(n);
-	bh__looks_note_answered(n->looks, sent_us, n->fleet->now_us);
+	bh__platform_sync_note_read_answered(n->looks, sent_us, n->fleet->now_us);
 	learnt_(&n->port);
 }
 
@@ -529,11 +529,11 @@
 		g_ptr_array_remove_index(f->letters, i);
 		if (bh__message_decode(&m, l->data, l->len, NULL)) {
 			if (m.type == BH__MESSAGE_SYNC_ASK)
-				bh__looks_process_ask(n->looks, &m, f->now_us);
+				bh__platform_sync_process_ask(n->looks, &m, f->now_us);
 			else if (m.type == BH__MESSAGE_SYNC)
-				bh__looks_process_answer(n->looks, &m, f->now_us);
+				bh__platform_sync_process_answer(n->looks, &m, f->now_us);
 			else if (m.type == BH__MESSAGE_READER)
-				bh__looks_process_reader(n->looks, &m, f->now_us);
+				bh__platform_sync_process_reader(n->looks, &m, f->now_us);
 			bh__message_finish(&m);
 		}
 		free(l->data);
@@ -580,8 +580,8 @@
 				follow_look_(n, what);
 			if ((f->step + i) % TICK_STEPS == 0) {
 				follow_registry_(n);
-				bh__looks_process_tick(n->looks, f->now_us);
-				bh__looks_process_news(n->looks, f->now_us);
+				bh__platform_sync_process_tick(n->looks, f->now_us);
+				bh__platform_sync_process_update(n->looks, f->now_us);
 			}
 		}
 	}
@@ -733,7 +733,7 @@
 
 uint64_t fleet_get_known_us(const Fleet *f, unsigned node)
 {
-	return bh__looks_get_known_us(f->node[node].looks);
+	return bh__platform_sync_get_as_of_us(f->node[node].looks);
 }
 
 unsigned fleet_find_reader(const Fleet *f)
@@ -741,7 +741,7 @@
 	unsigned best = 0;
 
 	for (unsigned i = 1; i < f->options.nodes; i++)
-		if (f->node[i].looked_us > f->node[best].looked_us)
+		if (f->node[i].platform_read_us > f->node[best].platform_read_us)
 			best = i;
 	return best;
 }
@@ -756,7 +756,7 @@
 	unsigned count = 0;
 
 	for (unsigned i = 0; i < f->options.nodes; i++)
-		count += counts_(&f->node[i]) && bh__looks_get_known_us(f->node[i].looks) < since_us;
+		count += counts_(&f->node[i]) && bh__platform_sync_get_as_of_us(f->node[i].looks) < since_us;
 	return count;
 }
 
@@ -766,8 +766,8 @@
 
 	for (unsigned i = 0; i < f->options.nodes; i++) {
 		const Node *n = &f->node[i];
-		bool serves = n->configuration.version && bh__looks_get_known_us(n->looks) &&
-					  f->now_us < n->configuration.looked_us + FLEET_TRUST_US;
+		bool serves = n->configuration.version && bh__platform_sync_get_as_of_us(n->looks) &&
+					  f->now_us < n->configuration.platform_read_us + FLEET_TRUST_US;
 		count += counts_(n) && !serves;
 	}
 	return count;
--- a/src/test_libbayhoist/fleet.h
+++ b/src/test_libbayhoist/fleet.h
@@ -5,7 +5,7 @@
 #ifndef TEST_FLEET_H
 #define TEST_FLEET_H
 
-#include "bayhoist/looks.h"
+#include "bayhoist/platform_sync.h"
 
 #define FLEET_START_US (1000 * BH__SECOND_US)
 #define FLEET_LOOKS_PER_S 20              /* at a store that bears 2,000 reads a second */
--- a/src/test_libbayhoist/test_cold.c
+++ b/src/test_libbayhoist/test_cold.c
@@ -49,7 +49,7 @@
 static void put_(BH__Registry *r, uint64_t revision, uint64_t cold_until_us)
 {
 	BH__EndpointEntry e = {.id = "i-1", .service = "web", .address = "1.1.1.1:1", .hall = "h1", .slots = 6};
-	BH__Place place = {.revision = revision};
+	BH__StoreVersion place = {.revision = revision};
 
 	e.cold_until_us = cold_until_us;
 	bh__registry_put(r, &e, place, place);
@@ -254,7 +254,8 @@
 	GArray *departures = g_array_new(FALSE, FALSE, sizeof(BH__EndpointDeparture));
 	unsigned count;
 
-	assert_true(bh__registry_list_changes(r, (BH__Place){.revision = since}, NOW_US, facts, departures));
+	assert_true(
+		bh__registry_list_changes(r, (BH__StoreVersion){.revision = since}, NOW_US, facts, departures));
 	count = facts->len;
 	g_array_unref(facts);
 	g_array_unref(departures);
--- a/src/test_libbayhoist/test_duties.c
+++ b/src/test_libbayhoist/test_duties.c
@@ -36,9 +36,9 @@
 	(void)state;
 	bh__takeover_init(&t);
 	assert_false(bh__takeover_is_done(&t, m, START_US));
-	bh__takeover_note_told(&t, 2, false, START_US - 20 * BH__MS_US); /* it noticed before this node did */
+	bh__takeover_note_report(&t, 2, false, START_US - 20 * BH__MS_US); /* it noticed before this node did */
 	bh__takeover_begin(&t, START_US);
-	bh__takeover_note_told(&t, 3, false, START_US + BH__MS_US);
+	bh__takeover_note_report(&t, 3, false, START_US + BH__MS_US);
 	assert_false(bh__takeover_is_done(&t, m, START_US + BH__MS_US));
 	bh__members_process_unreachable(m, 4, START_US + 2 * BH__MS_US); /* nobody waits for that one */
 	assert_true(bh__takeover_is_done(&t, m, START_US + 2 * BH__MS_US));
@@ -60,7 +60,7 @@
 	assert_false(bh__takeover_is_done(&t, m, START_US + BH__TAKEOVER_MAX_US - 1));
 	assert_true(bh__takeover_is_done(&t, m, START_US + BH__TAKEOVER_MAX_US));
 	bh__takeover_begin(&t, START_US);
-	bh__takeover_note_told(&t, 2, true, START_US + BH__MS_US);
+	bh__takeover_note_report(&t, 2, true, START_US + BH__MS_US);
 	assert_true(bh__takeover_is_done(&t, m, START_US + BH__MS_US));
 	bh__takeover_begin(&t, START_US + 5 * BH__SECOND_US); /* that was another time */
 	assert_false(bh__takeover_is_done(&t, m, START_US + 5 * BH__SECOND_US));
--- a/src/test_libbayhoist/test_endpoint_rate.c
+++ b/src/test_libbayhoist/test_endpoint_rate.c
@@ -230,7 +230,7 @@
 static void put_(BH__Registry *r, uint64_t revision, uint64_t born_ms)
 {
 	BH__EndpointEntry e = {.id = "i-1", .service = "web", .address = "1.1.1.1:1", .hall = "h1", .slots = 6};
-	BH__Place place = {.revision = revision};
+	BH__StoreVersion place = {.revision = revision};
 
 	e.born_ms = born_ms;
 	bh__registry_put(r, &e, place, place);
@@ -240,7 +240,7 @@
 /* The endpoint's entry is gone from a revision on. */
 static void remove_(BH__Registry *r, uint64_t revision)
 {
-	BH__Place gone = {.revision = revision};
+	BH__StoreVersion gone = {.revision = revision};
 
 	bh__registry_remove(r, bh__registry_get(r, 0)->endpoint_id, gone, 1, gone);
 	bh__registry_process_tick(r, NOW_US);
@@ -275,8 +275,8 @@
 static void many_that_leave_harm_nothing_(void **state)
 {
 	BH__Registry *r = bh__registry_new(1);
-	const BH__Place listed = {.revision = 1};
-	BH__Place place = {.revision = 2000};
+	const BH__StoreVersion listed = {.revision = 1};
+	BH__StoreVersion place = {.revision = 2000};
 	const unsigned count = 1100;
 
 	(void)state;
--- a/src/test_libbayhoist/test_gateway.c
+++ b/src/test_libbayhoist/test_gateway.c
@@ -11,8 +11,8 @@
 #include "bayhoist/retry_state.h"
 #include "bayhoist/field.h"
 #include "bayhoist/hash.h"
-#include "bayhoist/knowledge.h"
-#include "bayhoist/look.h"
+#include "bayhoist/startup_state.h"
+#include "bayhoist/read_schedule.h"
 #include "bayhoist/registry.h"
 #include "bayhoist/planner.h"
 #include "bayhoist/routing.h"
@@ -125,9 +125,9 @@
 }
 
 /* Returns a place in the store's history. */
-static BH__Place at_(uint64_t revision)
+static BH__StoreVersion at_(uint64_t revision)
 {
-	return (BH__Place){.revision = revision};
+	return (BH__StoreVersion){.revision = revision};
 }
 
 /* Takes an entry that was written at a revision, read with all up to there. */
@@ -379,20 +379,21 @@
 {
 	const uint64_t period_us = 700 * BH__MS_US;
 	uint64_t now_us = BH__SECOND_US;
-	BH__Look l = {0};
+	BH__ReadSchedule l = {0};
 	unsigned made = 0;
 
 	(void)state;
 	for (unsigned i = 0; i < 100; i++) /* ten seconds without an answer */
-		made += bh__look_process(&l, period_us, 0, false, now_us + i * 100 * BH__MS_US);
+		made += bh__read_schedule_process(&l, period_us, 0, false, now_us + i * 100 * BH__MS_US);
 	assert_in_range(made, 4, 6);
 	now_us += 10 * BH__SECOND_US;
-	assert_true(l.backoff_us == BH__LOOK_BACKOFF_MAX_US);
-	assert_true(bh__look_process(&l, period_us, 0, true,
-								 MAX(now_us, l.sent_us + period_us))); /* others were answered */
+	assert_true(l.backoff_us == BH__READ_SCHEDULE_BACKOFF_MAX_US);
+	assert_true(bh__read_schedule_process(&l, period_us, 0, true,
+										  MAX(now_us, l.sent_us + period_us))); /* others were answered */
 	now_us = l.sent_us;
-	assert_false(bh__look_process(&l, period_us, now_us, false, now_us + 600 * BH__MS_US));
-	assert_true(bh__look_process(&l, period_us, now_us, false, now_us + period_us)); /* it was itself */
+	assert_false(bh__read_schedule_process(&l, period_us, now_us, false, now_us + 600 * BH__MS_US));
+	assert_true(
+		bh__read_schedule_process(&l, period_us, now_us, false, now_us + period_us)); /* it was itself */
 }
 
 /* A change is made just after the last look that a node knows of; 24 of 79 nodes are cut off, and the node
@@ -405,9 +406,10 @@
 	const uint64_t look_us = 300 * BH__MS_US; /* with a large configuration on a small VM */
 
 	(void)state;
-	assert_true(bh__look_get_old_us(bound_us, period_us, true) + look_us <= bound_us / 2);
-	assert_true(bh__look_get_old_us(bound_us, period_us, false) + look_us < bound_us);
-	assert_true(bh__look_get_old_us(bound_us, period_us, false) > 2 * period_us); /* others tell it sooner */
+	assert_true(bh__read_schedule_get_max_age_us(bound_us, period_us, true) + look_us <= bound_us / 2);
+	assert_true(bh__read_schedule_get_max_age_us(bound_us, period_us, false) + look_us < bound_us);
+	assert_true(bh__read_schedule_get_max_age_us(bound_us, period_us, false) >
+				2 * period_us); /* others tell it sooner */
 }
 
 /* Where there is no place left, a begun answer is cut and nothing else is written into it. */
@@ -505,37 +507,43 @@
 static void a_start_waits_for_what_is_on_its_way_(void **state)
 {
 	const uint64_t start_us = 1000 * BH__SECOND_US;
-	BH__Knowledge k;
+	BH__StartupState k;
 
 	(void)state;
-	bh__knowledge_init(&k, start_us);
-	bh__knowledge_note_asked(&k, 1500 * BH__MS_US, start_us);
-	bh__knowledge_note_duties(&k, start_us + 180 * BH__MS_US);
-	bh__knowledge_note_endpoints(&k, start_us + 200 * BH__MS_US);
-	assert_int_equal(bh__knowledge_get_state(&k, start_us + 499 * BH__MS_US), BH__KNOWLEDGE_COMING);
-	bh__knowledge_note_configuration(&k, start_us + 500 * BH__MS_US);
-	assert_int_equal(bh__knowledge_get_state(&k, start_us + 500 * BH__MS_US), BH__KNOWLEDGE_WHOLE);
+	bh__startup_state_init(&k, start_us);
+	bh__startup_state_note_asked(&k, 1500 * BH__MS_US, start_us);
+	bh__startup_state_note_duties(&k, start_us + 180 * BH__MS_US);
+	bh__startup_state_note_endpoints(&k, start_us + 200 * BH__MS_US);
+	assert_int_equal(bh__startup_state_get_progress(&k, start_us + 499 * BH__MS_US),
+					 BH__STARTUP_STATE_PENDING);
+	bh__startup_state_note_configuration(&k, start_us + 500 * BH__MS_US);
+	assert_int_equal(bh__startup_state_get_progress(&k, start_us + 500 * BH__MS_US),
+					 BH__STARTUP_STATE_COMPLETE);
 }
 
 /* Nothing is kept for what nobody has promised: a platform that says nothing, or has refused. */
 static void a_start_waits_for_nothing_else_(void **state)
 {
 	const uint64_t start_us = 1000 * BH__SECOND_US;
-	const uint64_t later_us = start_us + BH__KNOWLEDGE_START_US;
-	BH__Knowledge k;
+	const uint64_t later_us = start_us + BH__STARTUP_STATE_WAIT_US;
+	BH__StartupState k;
 
 	(void)state;
-	bh__knowledge_init(&k, start_us);
-	bh__knowledge_note_asked(&k, 1500 * BH__MS_US, start_us);
-	assert_int_equal(bh__knowledge_get_state(&k, later_us - 1), BH__KNOWLEDGE_COMING);
-	assert_int_equal(bh__knowledge_get_state(&k, later_us), BH__KNOWLEDGE_MISSING); /* it is silent */
-	bh__knowledge_note_endpoints(&k, later_us);
-	assert_int_equal(bh__knowledge_get_state(&k, later_us), BH__KNOWLEDGE_COMING);
-	bh__knowledge_note_failed(&k);
-	assert_int_equal(bh__knowledge_get_state(&k, later_us), BH__KNOWLEDGE_MISSING); /* it has refused */
-	bh__knowledge_note_asked(&k, 1500 * BH__MS_US, later_us);
-	assert_int_equal(bh__knowledge_get_state(&k, later_us + 1499 * BH__MS_US), BH__KNOWLEDGE_COMING);
-	assert_int_equal(bh__knowledge_get_state(&k, later_us + 1500 * BH__MS_US), BH__KNOWLEDGE_MISSING);
+	bh__startup_state_init(&k, start_us);
+	bh__startup_state_note_asked(&k, 1500 * BH__MS_US, start_us);
+	assert_int_equal(bh__startup_state_get_progress(&k, later_us - 1), BH__STARTUP_STATE_PENDING);
+	assert_int_equal(bh__startup_state_get_progress(&k, later_us),
+					 BH__STARTUP_STATE_MISSING); /* it is silent */
+	bh__startup_state_note_endpoints(&k, later_us);
+	assert_int_equal(bh__startup_state_get_progress(&k, later_us), BH__STARTUP_STATE_PENDING);
+	bh__startup_state_note_failed(&k);
+	assert_int_equal(bh__startup_state_get_progress(&k, later_us),
+					 BH__STARTUP_STATE_MISSING); /* it has refused */
+	bh__startup_state_note_asked(&k, 1500 * BH__MS_US, later_us);
+	assert_int_equal(bh__startup_state_get_progress(&k, later_us + 1499 * BH__MS_US),
+					 BH__STARTUP_STATE_PENDING);
+	assert_int_equal(bh__startup_state_get_progress(&k, later_us + 1500 * BH__MS_US),
+					 BH__STARTUP_STATE_MISSING);
 }
 
 /* All nodes start while the platform is away, and it comes back 450 ms later: nobody knows more than another
@@ -543,16 +551,18 @@
 static void a_start_outlasts_a_short_outage_(void **state)
 {
 	const uint64_t start_us = 1000 * BH__SECOND_US;
-	BH__Knowledge k;
+	BH__StartupState k;
 
 	(void)state;
-	bh__knowledge_init(&k, start_us);
+	bh__startup_state_init(&k, start_us);
 	for (unsigned ms = 0; ms < 450; ms += 150) { /* each look is refused at once */
-		bh__knowledge_note_asked(&k, 1500 * BH__MS_US, start_us + ms * BH__MS_US);
-		bh__knowledge_note_failed(&k);
+		bh__startup_state_note_asked(&k, 1500 * BH__MS_US, start_us + ms * BH__MS_US);
+		bh__startup_state_note_failed(&k);
 	}
-	assert_int_equal(bh__knowledge_get_state(&k, start_us + 450 * BH__MS_US), BH__KNOWLEDGE_COMING);
-	assert_int_equal(bh__knowledge_get_state(&k, start_us + 1001 * BH__MS_US), BH__KNOWLEDGE_MISSING);
+	assert_int_equal(bh__startup_state_get_progress(&k, start_us + 450 * BH__MS_US),
+					 BH__STARTUP_STATE_PENDING);
+	assert_int_equal(bh__startup_state_get_progress(&k, start_us + 1001 * BH__MS_US),
+					 BH__STARTUP_STATE_MISSING);
 }
 
 /* One endpoint of a service is left, and fails some requests: a request that it failed goes there once more.
--- a/src/test_libbayhoist/test_inputs.c
+++ b/src/test_libbayhoist/test_inputs.c
@@ -165,7 +165,7 @@
 		m->as.sync.configuration = (BH__PackedText){.data = (uint8_t *)"abc", .len = 3, .text_len = 2};
 		m->as.sync.platform_unavailable = true;
 		m->as.sync.is_complete = true;
-		m->as.sync.place = (BH__Place){.era = 2, .revision = 9};
+		m->as.sync.store_version = (BH__StoreVersion){.era = 2, .revision = 9};
 		m->as.sync.count = 2;
 		m->as.sync.fact = facts;
 		m->as.sync.gone_count = 2;
--- a/src/test_libbayhoist/test_registry.c
+++ b/src/test_libbayhoist/test_registry.c
@@ -24,14 +24,14 @@
 
 /* One change of the store: an entry as written, or that it went. */
 typedef struct {
-	BH__Place place;
+	BH__StoreVersion store_version;
 	BH__EndpointEntry entry;
 	bool gone;
 } Change;
 
-static BH__Place at_(uint64_t revision)
+static BH__StoreVersion at_(uint64_t revision)
 {
-	return (BH__Place){.revision = revision};
+	return (BH__StoreVersion){.revision = revision};
 }
 
 static BH__EndpointEntry entry_(unsigned i, uint64_t born_ms, bool draining)
@@ -47,9 +47,9 @@
 static void take_(BH__Registry *r, const Change *c)
 {
 	if (c->gone)
-		bh__registry_remove(r, bh__hash_name(c->entry.id), c->place, NOW_US, c->place);
+		bh__registry_remove(r, bh__hash_name(c->entry.id), c->store_version, NOW_US, c->store_version);
 	else
-		bh__registry_put(r, &c->entry, c->place, c->place);
+		bh__registry_put(r, &c->entry, c->store_version, c->store_version);
 	bh__registry_process_tick(r, NOW_US);
 }
 
@@ -75,10 +75,10 @@
 	bh__registry_process_tick(r, NOW_US);
 	bh__registry_set_place(r, at_(50));
 	version = bh__registry_get_version(r);
-	bh__registry_remove(r, id, at_(20), NOW_US + BH__OUTAGE_BACK_US, at_(60));
+	bh__registry_remove(r, id, at_(20), NOW_US + BH__OUTAGE_GRACE_US, at_(60));
 	assert_false(bh__registry_put(r, &e, at_(30), at_(60)));
 	assert_false(is_usable_(r, e.id));
-	bh__registry_remove(r, id, at_(50), NOW_US + BH__OUTAGE_BACK_US, at_(60));
+	bh__registry_remove(r, id, at_(50), NOW_US + BH__OUTAGE_GRACE_US, at_(60));
 	assert_false(is_usable_(r, e.id));
 	assert_int_equal(bh__registry_get_version(r), version);
 	assert_true(bh__registry_put(r, &e, at_(70), at_(70))); /* it is back in fact */
@@ -95,7 +95,7 @@
 		unsigned n = (unsigned)g_rand_int_range(rand, 0, ENDPOINTS);
 		if (!born_ms[n] || g_rand_int_range(rand, 0, 6) == 0)
 			born_ms[n] = 100 + i;
-		c[i] = (Change){.place = at_(i + 1),
+		c[i] = (Change){.store_version = at_(i + 1),
 						.entry = entry_(n, born_ms[n], g_rand_int_range(rand, 0, 5) == 0),
 						.gone = g_rand_int_range(rand, 0, 3) == 0};
 	}
@@ -157,16 +157,16 @@
 {
 	GArray *facts = g_array_new(FALSE, FALSE, sizeof(BH__EndpointFact));
 	GArray *gone = g_array_new(FALSE, FALSE, sizeof(BH__EndpointDeparture));
-	BH__Place place = bh__registry_get_place(from);
+	BH__StoreVersion store_version = bh__registry_get_place(from);
 
 	if (!bh__registry_list_changes(from, bh__registry_get_place(to), NOW_US, facts, gone))
 		for (unsigned i = 0; i < bh__registry_get_count(from); i++)
 			bh__registry_add_fact(from, i, NOW_US, facts);
 	for (guint i = 0; i < facts->len; i++)
-		bh__registry_put_fact(to, &g_array_index(facts, BH__EndpointFact, i), place, NOW_US);
+		bh__registry_put_fact(to, &g_array_index(facts, BH__EndpointFact, i), store_version, NOW_US);
 	for (guint i = 0; i < gone->len; i++)
-		bh__registry_put_departure(to, &g_array_index(gone, BH__EndpointDeparture, i), place);
-	bh__registry_set_place(to, place);
+		bh__registry_put_departure(to, &g_array_index(gone, BH__EndpointDeparture, i), store_version);
+	bh__registry_set_place(to, store_version);
 	bh__registry_process_tick(to, NOW_US);
 	g_array_unref(facts);
 	g_array_unref(gone);
@@ -220,9 +220,9 @@
 	BH__Registry *other = bh__registry_new(2);
 	BH__EndpointEntry left = entry_(1, 7, false);
 	BH__EndpointEntry lives = entry_(2, 7, false);
-	const BH__Place start = {.era = 1, .revision = 25};
-	const BH__Place later = {.era = 1, .revision = 30};
-	const BH__Place third = {.era = 3, .revision = 18};
+	const BH__StoreVersion start = {.era = 1, .revision = 25};
+	const BH__StoreVersion later = {.era = 1, .revision = 30};
+	const BH__StoreVersion third = {.era = 3, .revision = 18};
 
 	(void)state;
 	for (unsigned i = 0; i < 2; i++) {
@@ -234,8 +234,8 @@
 		bh__registry_set_place(r, at_(50));
 	}
 	bh__registry_begin_era(reader, start);
-	assert_false(bh__registry_put(reader, &left, (BH__Place){.era = 1, .revision = 18}, start));
-	bh__registry_put(reader, &lives, (BH__Place){.era = 1, .revision = 19}, start);
+	assert_false(bh__registry_put(reader, &left, (BH__StoreVersion){.era = 1, .revision = 18}, start));
+	bh__registry_put(reader, &lives, (BH__StoreVersion){.era = 1, .revision = 19}, start);
 	bh__registry_set_place(reader, start);
 	assert_false(is_usable_(reader, left.id));
 	assert_true(is_usable_(reader, lives.id));
@@ -288,20 +288,20 @@
 static void only_an_outage_gives_time_to_come_back_(void **state)
 {
 	BH__Outage o = {0};
-	const uint64_t back_us = BH__OUTAGE_BACK_US;
+	const uint64_t back_us = BH__OUTAGE_GRACE_US;
 
 	(void)state;
 	assert_true(bh__outage_get_gone_at_us(&o, NOW_US - 5000000, NOW_US) == NOW_US); /* no sign */
-	bh__outage_note_failed(&o, NOW_US - 4800000, 800000, NOW_US - 1000000);         /* suspended meanwhile */
+	bh__outage_note_read_failed(&o, NOW_US - 4800000, 800000, NOW_US - 1000000);    /* suspended meanwhile */
 	assert_true(bh__outage_get_gone_at_us(&o, NOW_US - 5000000, NOW_US) == NOW_US);
-	bh__outage_note_failed(&o, NOW_US - 1800000, 800000, NOW_US - 1000000);
+	bh__outage_note_read_failed(&o, NOW_US - 1800000, 800000, NOW_US - 1000000);
 	assert_true(bh__outage_get_gone_at_us(&o, NOW_US - 5000000, NOW_US) == NOW_US + back_us);
 	assert_true(bh__outage_get_gone_at_us(&o, NOW_US - 900000, NOW_US) == NOW_US); /* others told since */
 	assert_true(bh__outage_get_gone_at_us(&o, NOW_US - 1200000, NOW_US) ==
 				NOW_US); /* too short for a lapse */
 	assert_true(bh__outage_get_gone_at_us(&o, 0, NOW_US) == NOW_US);
 	o = (BH__Outage){0};
-	bh__outage_note_others_lost(&o, NOW_US - 10);
+	bh__outage_note_others_out_of_sync(&o, NOW_US - 10);
 	assert_true(bh__outage_get_gone_at_us(&o, NOW_US - 3000000, NOW_US) == NOW_US + back_us);
 }
 
@@ -353,10 +353,10 @@
 	bh__registry_put(r, &e, at_(24), at_(25));
 	assert_true(bh__registry_get_drained_since_us(r, "s", NOW_US + 1) == NOW_US);
 	assert_true(bh__registry_get_drained_since_us(r, "other", NOW_US + 1) == 0);
-	bh__registry_keep_halls(r, none, (BH__Place){.era = 1, .revision = 3}, NOW_US);
-	bh__registry_process_tick(r, NOW_US + BH__OUTAGE_BACK_US - 1);
+	bh__registry_keep_halls(r, none, (BH__StoreVersion){.era = 1, .revision = 3}, NOW_US);
+	bh__registry_process_tick(r, NOW_US + BH__OUTAGE_GRACE_US - 1);
 	assert_true(bh__registry_is_hall_draining(r, "h1"));
-	bh__registry_process_tick(r, NOW_US + BH__OUTAGE_BACK_US);
+	bh__registry_process_tick(r, NOW_US + BH__OUTAGE_GRACE_US);
 	assert_false(bh__registry_is_hall_draining(r, "h1"));
 	g_hash_table_unref(none);
 	bh__registry_delete(r);
@@ -428,9 +428,9 @@
 				is_listed = true;
 				break;
 			case 6: /* the store has come back from a copy */
-				bh__registry_begin_era(r, (BH__Place){.era = 1, .revision = 5});
-				bh__registry_put(r, &first, (BH__Place){.era = 1, .revision = 3},
-								 (BH__Place){.era = 1, .revision = 6});
+				bh__registry_begin_era(r, (BH__StoreVersion){.era = 1, .revision = 5});
+				bh__registry_put(r, &first, (BH__StoreVersion){.era = 1, .revision = 3},
+								 (BH__StoreVersion){.era = 1, .revision = 6});
 				is_listed = true;
 				break;
 			}
@@ -438,8 +438,8 @@
 			assert_false(has_said && is_usable_(r, first.id));
 		}
 		assert_true(is_listed);
-		bh__registry_put(r, &second, (BH__Place){.era = 1, .revision = 50},
-						 (BH__Place){.era = 1, .revision = 50});
+		bh__registry_put(r, &second, (BH__StoreVersion){.era = 1, .revision = 50},
+						 (BH__StoreVersion){.era = 1, .revision = 50});
 		assert_true(is_usable_(r, first.id));
 		bh__registry_note_leaving(r, id, first.born_ms); /* late, of the start before */
 		assert_true(is_usable_(r, first.id));
--- a/src/test_libbayhoist/test_signal_relay.c
+++ b/src/test_libbayhoist/test_signal_relay.c
@@ -83,7 +83,7 @@
 	self->registry = bh__registry_new(1);
 	for (unsigned i = 0; i < endpoints; i++) {
 		BH__EndpointEntry e = make_entry_(i, BORN_MS);
-		bh__registry_put(self->registry, &e, (BH__Place){0, 5}, (BH__Place){0, 5});
+		bh__registry_put(self->registry, &e, (BH__StoreVersion){0, 5}, (BH__StoreVersion){0, 5});
 	}
 	self->relay = bh__signal_relay_new(&self->port, n->members, self->registry);
 	n->user = self;
@@ -286,7 +286,7 @@
 	for (unsigned i = 0; i < f->count; i++) {
 		RelayNode *self = f->node[i].user;
 		BH__EndpointEntry e = make_entry_(1, BORN_MS + 500);
-		bh__registry_put(self->registry, &e, (BH__Place){0, 9}, (BH__Place){0, 9});
+		bh__registry_put(self->registry, &e, (BH__StoreVersion){0, 9}, (BH__StoreVersion){0, 9});
 		bh__signal_relay_process_message(self->relay, &late, f->now_us);
 	}
 	assert_int_equal(count_nodes_using_(f, 1), f->count);
--- a/src/test_libbayhoist/test_source.c
+++ b/src/test_libbayhoist/test_source.c
@@ -10,7 +10,7 @@
 #include <stdio.h>
 #include <string.h>
 #include "bayhoist/hash.h"
-#include "bayhoist/source.h"
+#include "bayhoist/sync_source.h"
 #include "null_members.h"
 
 #define NODES 295
@@ -24,7 +24,7 @@
 
 typedef struct {
 	BH__Members *members[NODES];
-	BH__Source source[NODES];
+	BH__SyncSource source[NODES];
 	uint64_t id[NODES];
 } Fleet;
 
@@ -60,7 +60,7 @@
 	for (unsigned i = 0; i < NODES; i++) {
 		f->members[i] = table_new_(i, NODES);
 		f->id[i] = bh__members_get_self(f->members[i])->node_id;
-		assert_true(bh__source_process_tick(&f->source[i], f->members[i], START_US));
+		assert_true(bh__sync_source_process_tick(&f->source[i], f->members[i], START_US));
 	}
 }
 
@@ -90,8 +90,8 @@
 	(void)state;
 	fleet_init_(&f);
 	for (unsigned i = 0; i < NODES; i++) {
-		readers += bh__source_reads(&f.source[i], f.members[i], START_US);
-		if (bh__source_asks(&f.source[i], f.members[i]))
+		readers += bh__sync_source_reads(&f.source[i], f.members[i], START_US);
+		if (bh__sync_source_asks(&f.source[i], f.members[i]))
 			askers[index_of_(&f, f.source[i].node)]++;
 	}
 	assert_int_equal(readers, 1);
@@ -103,7 +103,7 @@
 /* Returns a random time until a node's own next platform read. */
 static uint64_t read_delay_us_(const BH__Members *m, double reads_per_s, uint64_t id, uint64_t nonce)
 {
-	return bh__source_get_look_wait_us(m, reads_per_s, bh__hash_pair(id, nonce));
+	return bh__sync_source_get_read_delay_us(m, reads_per_s, bh__hash_pair(id, nonce));
 }
 
 /* Returns the platform reads per second of a fleet of `nodes` nodes during an outage: 1 in 100 of the reads
@@ -135,17 +135,17 @@
 	for (uint64_t ms = 0; ms < OUTAGE_MS; ms += STEP_MS) {
 		uint64_t now_us = START_US + ms * BH__MS_US;
 		for (unsigned i = 0; i < NODES; i++) {
-			BH__Source *s = &f.source[i];
-			bool unavailable = bh__source_is_platform_away(s);
+			BH__SyncSource *s = &f.source[i];
+			bool unavailable = bh__sync_source_is_platform_unavailable(s);
 			bool reads;
-			bh__source_process_tick(s, f.members[i], now_us);
+			bh__sync_source_process_tick(s, f.members[i], now_us);
 			if (now_us >= next_answer_us[i]) { /* the reader itself is stale, too */
-				bh__source_note_stale(s, now_us);
+				bh__sync_source_note_stale(s, now_us);
 				next_answer_us[i] = now_us + (unavailable ? HOLD_MS * BH__MS_US : 0);
 			}
-			assert_false(bh__source_is_cut_off(s));
-			reads = bh__source_reads(s, f.members[i], now_us);
-			if (!reads && !bh__source_is_platform_away(s))
+			assert_false(bh__sync_source_is_isolated(s));
+			reads = bh__sync_source_reads(s, f.members[i], now_us);
+			if (!reads && !bh__sync_source_is_platform_unavailable(s))
 				continue;
 			if (!next_read_us[i] && !reads)
 				next_read_us[i] = now_us + read_delay_us_(f.members[i], READS_PER_S, f.id[i], ms);
@@ -172,18 +172,18 @@
 	refused[0] = bh__members_pick_except(f.members[0], bh__hash_name("platform-reader"), NULL, NULL, 0);
 	refused[1] = bh__members_pick_except(f.members[0], bh__hash_name("platform-reader"), NULL, refused, 1);
 	for (unsigned i = 0; i < NODES; i++) {
-		BH__Source *s = &f.source[i];
+		BH__SyncSource *s = &f.source[i];
 		uint64_t relay = s->node;
 		unsigned asked_count = 0;
 		while (s->node == relay || s->node == refused[0] || s->node == refused[1]) {
-			bh__source_note_stale(s, START_US);
-			bh__source_process_tick(s, f.members[i], START_US);
+			bh__sync_source_note_stale(s, START_US);
+			bh__sync_source_process_tick(s, f.members[i], START_US);
 			asked_count++;
 		}
 		assert_true(asked_count <= 3);
-		assert_false(bh__source_is_platform_away(s));
-		bh__source_note_useful(s, relay, START_US);
-		bh__source_process_tick(s, f.members[i], START_US + 6 * BH__SECOND_US);
+		assert_false(bh__sync_source_is_platform_unavailable(s));
+		bh__sync_source_note_useful(s, relay, START_US);
+		bh__sync_source_process_tick(s, f.members[i], START_US + 6 * BH__SECOND_US);
 		assert_true(s->node == relay);
 	}
 	fleet_finish_(&f);
@@ -194,18 +194,18 @@
 static void test_isolation_after_unresponsive_sources_(void **state)
 {
 	static Fleet f;
-	BH__Source *s = &f.source[7];
+	BH__SyncSource *s = &f.source[7];
 	uint64_t first;
 
 	(void)state;
 	fleet_init_(&f);
 	first = s->node;
-	bh__source_note_silent(s, START_US);
-	bh__source_process_tick(s, f.members[7], START_US);
+	bh__sync_source_note_unresponsive(s, START_US);
+	bh__sync_source_process_tick(s, f.members[7], START_US);
 	assert_true(s->node != first);
-	assert_false(bh__source_is_cut_off(s));
-	bh__source_note_silent(s, START_US);
-	assert_true(bh__source_is_cut_off(s));
+	assert_false(bh__sync_source_is_isolated(s));
+	bh__sync_source_note_unresponsive(s, START_US);
+	assert_true(bh__sync_source_is_isolated(s));
 	fleet_finish_(&f);
 }
 
@@ -221,7 +221,7 @@
 
 typedef struct {
 	BH__Members *members;
-	BH__Source source;
+	BH__SyncSource source;
 	uint64_t id;
 	uint64_t as_of_us;         /* start time of the platform read whose state the node holds */
 	uint64_t reader;           /* node that made that read */
@@ -265,7 +265,7 @@
 		p->node[i].as_of_us = START_US - (i % 4) * (PERIOD_US / 4);
 		p->node[i].reader =
 			bh__members_pick_except(p->node[i].members, bh__hash_name("platform-reader"), NULL, NULL, 0);
-		bh__source_process_tick(&p->node[i].source, p->node[i].members, START_US);
+		bh__sync_source_process_tick(&p->node[i].source, p->node[i].members, START_US);
 	}
 }
 
@@ -292,17 +292,17 @@
 static void sim_read_platform_(Sim *p, SimNode *n, uint64_t now_us)
 {
 	p->read_count++;
-	n->out_of_sync = n->refused && bh__source_reads(&n->source, n->members, now_us);
+	n->out_of_sync = n->refused && bh__sync_source_reads(&n->source, n->members, now_us);
 	if (n->refused)
 		return;
 	n->as_of_us = now_us;
 	n->reader = n->id;
-	if (!bh__source_take_over(&n->source, n->members, false, now_us))
+	if (!bh__sync_source_take_over(&n->source, n->members, false, now_us))
 		return;
 	for (unsigned i = 0; i < p->count; i++) {
 		SimNode *other = &p->node[i];
 		p->notice_count += other != n;
-		if (other != n && bh__source_note_reader(&other->source, other->members, n->id, 0, now_us))
+		if (other != n && bh__sync_source_note_reader(&other->source, other->members, n->id, 0, now_us))
 			sim_repick_source_(other);
 	}
 }
@@ -317,20 +317,21 @@
 		if (now_us < MAX(n->answer_by_us, n->asked_us) + SIM_ANSWER_MS * BH__MS_US)
 			return;
 		sim_repick_source_(n);
-		bh__source_note_silent(&n->source, now_us);
+		bh__sync_source_note_unresponsive(&n->source, now_us);
 		return;
 	}
 	if (now_us < n->asked_us + 2 * SIM_STEP_MS * BH__MS_US ||
 		(!has_update && now_us < n->answer_by_us &&
-		 !(from->out_of_sync && !bh__source_is_platform_away(&n->source))))
+		 !(from->out_of_sync && !bh__sync_source_is_platform_unavailable(&n->source))))
 		return;
 	sim_repick_source_(n);
 	if (!sim_is_fresh_(from, now_us) ||
-		!bh__source_is_young(&n->source, now_us - from->as_of_us, SIM_MAX_AGE_MS * BH__MS_US, PERIOD_US)) {
-		bh__source_note_stale(&n->source, now_us);
+		!bh__sync_source_is_fresh_enough(&n->source, now_us - from->as_of_us, SIM_MAX_AGE_MS * BH__MS_US,
+										 PERIOD_US)) {
+		bh__sync_source_note_stale(&n->source, now_us);
 		return;
 	}
-	bh__source_note_useful(&n->source, from->reader, now_us);
+	bh__sync_source_note_useful(&n->source, from->reader, now_us);
 	if (!has_update)
 		return;
 	n->as_of_us = from->as_of_us;
@@ -341,26 +342,26 @@
  * request. */
 static void sim_step_(Sim *p, SimNode *n, uint64_t now_us)
 {
-	BH__Source *s = &n->source;
+	BH__SyncSource *s = &n->source;
 	bool reads;
 
 	if (n->repick_source || now_us % (SIM_TICK_MS * BH__MS_US) == 0)
-		n->asked_us = bh__source_process_tick(s, n->members, now_us) ? 0 : n->asked_us;
+		n->asked_us = bh__sync_source_process_tick(s, n->members, now_us) ? 0 : n->asked_us;
 	n->repick_source = false;
-	reads = bh__source_reads(s, n->members, now_us);
+	reads = bh__sync_source_reads(s, n->members, now_us);
 	n->out_of_sync = n->out_of_sync && reads;
 	if (reads && now_us >= n->next_read_us) {
 		n->next_read_us = now_us + PERIOD_US;
 		sim_read_platform_(p, n, now_us);
-		if (n->out_of_sync && !bh__source_asks(s, n->members)) {
-			bh__source_note_stale(s, now_us);
-			bh__source_process_tick(s, n->members, now_us);
+		if (n->out_of_sync && !bh__sync_source_asks(s, n->members)) {
+			bh__sync_source_note_stale(s, now_us);
+			bh__sync_source_process_tick(s, n->members, now_us);
 		}
 	}
-	if (bh__source_is_platform_away(s) && !n->was_unavailable)
+	if (bh__sync_source_is_platform_unavailable(s) && !n->was_unavailable)
 		n->next_own_read_us = now_us + read_delay_us_(n->members, reads_per_s_(p->count), n->id, now_us);
-	n->was_unavailable = bh__source_is_platform_away(s);
-	if (bh__source_is_cut_off(s) && !reads && !sim_is_fresh_(n, now_us) && now_us >= n->next_read_us) {
+	n->was_unavailable = bh__sync_source_is_platform_unavailable(s);
+	if (bh__sync_source_is_isolated(s) && !reads && !sim_is_fresh_(n, now_us) && now_us >= n->next_read_us) {
 		n->next_read_us = now_us + PERIOD_US;
 		sim_read_platform_(p, n, now_us);
 	}
@@ -368,7 +369,7 @@
 		n->next_own_read_us = now_us + read_delay_us_(n->members, reads_per_s_(p->count), n->id, now_us);
 		sim_read_platform_(p, n, now_us);
 	}
-	if (!bh__source_asks(s, n->members))
+	if (!bh__sync_source_asks(s, n->members))
 		return;
 	if (n->asked_us) {
 		sim_answer_(p, n, now_us);
@@ -377,7 +378,8 @@
 		p->request_count++;
 		n->asked_us = now_us;
 		n->answer_by_us =
-			now_us + (bh__source_is_hurried(s, n->members, now_us) ? SIM_HOLD_MS * BH__MS_US : PERIOD_US);
+			now_us +
+			(bh__sync_source_needs_short_hold(s, n->members, now_us) ? SIM_HOLD_MS * BH__MS_US : PERIOD_US);
 		if (s->stale_count && !n->was_unavailable)
 			n->answer_by_us = now_us;
 	}
