--- a/src/libbayhoist/include/private/queue.h
+++ b/src/libbayhoist/include/private/queue.h
@@ -1,5 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The asks that wait in a pool: two lanes, each in weighted fair order over client accounts. */
+/* The queue of the asks that wait in a pool. It has two lanes, for short and for long prompts, each in
+ * weighted fair order over client accounts. */
 #ifndef BAYHOIST_PRIVATE_QUEUE_H
 #define BAYHOIST_PRIVATE_QUEUE_H
 
@@ -7,16 +8,17 @@
 
 typedef enum { BH__LANE_SHORT, BH__LANE_LONG, BH__LANE_COUNT } BH__Lane;
 
+/* An ask that waits. */
 typedef struct {
 	BH__Ask ask;
 	BH__Lane lane;
-	uint64_t work_tokens;
+	uint64_t work_tokens; /* prompt tokens plus the maximum answer tokens */
 	uint64_t arrived_us;
-	uint64_t latest_start_us; /* from here on it can no longer finish in time */
-	double start_tag;
-	double finish_tag;
-	GSequenceIter *in_order;
-	GSequenceIter *in_deadlines;
+	uint64_t latest_start_us;     /* a grant after this time cannot finish before the deadline */
+	double start_tag;             /* virtual time at which its service starts, in tokens divided by weight */
+	double finish_tag;            /* start tag plus work divided by weight */
+	GSequenceIter *order_iter;    /* position in its lane */
+	GSequenceIter *deadline_iter; /* position among the entries of all lanes by latest start */
 } BH__QueueEntry;
 
 typedef struct BH__Queue BH__Queue;
--- a/src/libbayhoist/pool.c
+++ b/src/libbayhoist/pool.c
@@ -1,36 +1,40 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The pool scheduler. Asks wait in weighted fair order in a short and a long lane. Short ones go to an engine
- * as soon as one has memory and little backlog. Of the long ones, the first in line chooses its engine or
- * engines, all at once, which then keep free what it needs; it starts when the first has the memory, and the
- * others drain meanwhile. Only one prompt at a time chooses and it is given all that it chose, so there is no
- * deadlock, and no stream of short ones starves it. */
+/* The pool scheduler. Asks wait in weighted fair order in a short and a long lane. A short ask is granted as
+ * soon as an engine has the memory and little backlog. The first long ask reserves memory on all the engines
+ * that it needs at once. It is granted when its first engine has the memory free; the other engines drain
+ * while the first one prefills. Only one ask holds a reservation at a time, and it is granted all engines of
+ * the reservation, so that long asks cannot deadlock. Short asks cannot starve it, because they are not
+ * granted reserved memory. */
 #include "bayhoist/pool.h"
 
 #include <string.h>
 #include "forecast.h"
 #include "ledger.h"
 
-#define SHORT_LOOKAHEAD_ 4 /* entries tried when the first does not fit */
-#define BACKFILL_LOOKAHEAD_ 8
-#define PATIENCE_US_ (20 * BH__SECOND_US) /* that others may start before a long prompt that cannot */
-#define USABLE_CHECK_US_ (100 * BH__MS_US)
-#define NO_ENGINE_GRACE_US_ BH__SECOND_US /* a new scheduler has heard from its engines by then */
+#define SHORT_LOOKAHEAD_ 4 /* short asks tried, from the head of the lane, when the first ones do not fit */
+#define BACKFILL_LOOKAHEAD_ 8 /* long asks tried for a backfill, from the head of the lane */
+/* Time after the arrival of a long ask without engines in which later long asks may be granted first. */
+#define BACKFILL_MAX_WAIT_US_ (20 * BH__SECOND_US)
+#define USABLE_CHECK_INTERVAL_US_ (100 * BH__MS_US) /* between two searches for a usable engine */
+/* Time without a usable engine before asks are refused. A new scheduler has received the reports of its
+ * engines by then. */
+#define NO_ENGINE_GRACE_US_ BH__SECOND_US
 #define MIN_RETRY_AFTER_MS_ 200
 #define MAX_RETRY_AFTER_MS_ 60000
 
-/* The long ask that keeps memory free for itself. */
+/* The engine memory that is kept free for one long ask. */
 typedef struct {
-	uint64_t ask_id; /* 0: none */
-	unsigned count;
-	uint64_t endpoint_id[BH__GANG_MAX];
-	uint64_t kv_bytes[BH__GANG_MAX];
+	uint64_t ask_id;                    /* 0: none */
+	unsigned count;                     /* number of engines */
+	uint64_t endpoint_id[BH__GANG_MAX]; /* in the order in which they prefill */
+	uint64_t kv_bytes[BH__GANG_MAX];    /* reserved on each */
 } Reservation_;
 
 struct BH__Pool {
 	BH__PoolPort *port;
 	uint64_t pool_id;
-	uint64_t boot_id;
-	uint64_t next_grant;
+	uint64_t boot_id;    /* hash of the node's boot id and the pool's id */
+	uint64_t next_grant; /* number of grants so far, from which the grant ids are made */
 	BH__Policy policy;
 	BH__Engines *engines;
 	BH__PrefixIndex *prefixes;
@@ -39,34 +43,34 @@
 	BH__Forecast forecast;
 	Reservation_ reservation;
 	BH__PoolCounters counters;
-	uint64_t usable_us; /* when an engine was last usable; at first, when the pool began */
-	bool short_blocked; /* the first short asks fit on no engine, and nothing has changed since */
-	bool pumping;
+	uint64_t last_usable_us; /* last time an engine was seen usable, or the first check; 0: no check yet */
+	bool short_blocked;      /* no engine can take the first short asks, and nothing has changed since */
+	bool is_scheduling;      /* guards against nested scheduling from a port's callback */
 };
 
-static BH__Lane lane_of_(const BH__Pool *p, const BH__Ask *ask);
-static unsigned long_cap_(const BH__Pool *p);
-static uint64_t wait_us_(BH__Pool *p, BH__Lane lane, uint64_t now_us);
+static BH__Lane get_lane_(const BH__Pool *p, const BH__Ask *ask);
+static unsigned get_long_cap_(const BH__Pool *p);
+static uint64_t get_wait_us_(BH__Pool *p, BH__Lane lane, uint64_t now_us);
 static void on_orphan_(void *ctx, uint64_t endpoint_id, const BH__ReportedAttempt *attempt);
-static unsigned long_floor_(const BH__Pool *p);
-static unsigned busy_with_long_(const BH__Pool *p);
+static unsigned get_min_dedicated_(const BH__Pool *p);
+static unsigned count_long_prefilling_(const BH__Pool *p);
 static void refuse_(BH__Pool *p, const BH__Ask *ask, BH__Reason reason, uint64_t retry_after_us);
-static void pump_(BH__Pool *p, uint64_t now_us);
-static void pump_more_(BH__Pool *p, uint64_t now_us);
-static bool pump_short_(BH__Pool *p, uint64_t now_us);
-static void pump_engine_(BH__Pool *p, BH__Engine *engine, uint64_t now_us);
-static bool pump_long_(BH__Pool *p, uint64_t now_us);
-static bool has_engines_(BH__Pool *p, uint64_t now_us);
+static void schedule_all_(BH__Pool *p, uint64_t now_us);
+static void schedule_unblocked_(BH__Pool *p, uint64_t now_us);
+static bool schedule_short_(BH__Pool *p, uint64_t now_us);
+static void schedule_short_on_engine_(BH__Pool *p, BH__Engine *engine, uint64_t now_us);
+static bool schedule_long_(BH__Pool *p, uint64_t now_us);
+static bool has_usable_engine_(BH__Pool *p, uint64_t now_us);
 static bool has_adapter_(const BH__Pool *p, const BH__Ask *ask);
 static bool is_too_long_(const BH__Pool *p, const BH__Ask *ask);
 static bool reserve_(BH__Pool *p, BH__QueueEntry *e, uint64_t now_us);
 static bool backfill_(BH__Pool *p, uint64_t now_us);
 static void unreserve_(BH__Pool *p);
-static bool reservation_is_free_(BH__Pool *p);
+static bool is_reservation_ready_(BH__Pool *p);
 static void grant_entry_(BH__Pool *p, BH__QueueEntry *e, BH__Engine *const engine[],
 						 const uint64_t kv_bytes[], unsigned count, uint64_t now_us);
 static void split_prompt_(BH__Grant *g, uint64_t prompt_tokens);
-static void take_cache_events_(BH__Pool *p, BH__Engine *e, const BH__LoadReport *r);
+static void apply_cache_events_(BH__Pool *p, BH__Engine *e, const BH__LoadReport *r);
 
 /* Returns the id of the pool of a data hall and a model. */
 uint64_t bh__pool_get_id(const char *hall, const char *model)
@@ -74,7 +78,9 @@
 	return bh__hash_pair(bh__hash_name(hall), bh__hash_name(model));
 }
 
-/* Returns an empty pool. `boot_id` makes its grants' ids unique; `seed` sets the order of random looks. */
+/* Returns a pool without engines, to be freed with bh__pool_delete(). Decisions go to `port`, which must
+ * outlive the pool. `boot_id` makes the ids of its grants unique; `seed` seeds the random choice of candidate
+ * engines. */
 BH__Pool *bh__pool_new(BH__PoolPort *port, uint64_t pool_id, uint64_t boot_id, uint32_t seed)
 {
 	BH__Pool *p = g_new0(BH__Pool, 1);
@@ -89,6 +95,7 @@
 	return p;
 }
 
+/* Frees the pool; NULL is allowed. Waiting asks are dropped without a refusal. */
 void bh__pool_delete(BH__Pool *p)
 {
 	if (!p)
@@ -100,12 +107,14 @@
 	g_free(p);
 }
 
+/* Replaces the policy, which applies from the next decision on. */
 void bh__pool_set_policy(BH__Pool *p, const BH__Policy *policy)
 {
 	p->policy = *policy;
 }
 
-/* Adds an endpoint or changes what is known of it. Work that it runs stays in the ledger. */
+/* Adds an endpoint or replaces its description. Grants on it stay in the ledger. If it is leaving, the
+ * current reservation is cancelled. */
 void bh__pool_set_endpoint(BH__Pool *p, const BH__PoolEndpoint *endpoint, uint64_t now_us)
 {
 	BH__Engine *e = bh__engines_add(p->engines, endpoint->endpoint_id);
@@ -115,9 +124,10 @@
 		e->kv_capacity_bytes = endpoint->kv_bytes;
 	if (endpoint->leaving)
 		unreserve_(p);
-	pump_(p, now_us);
+	schedule_all_(p, now_us);
 }
 
+/* Removes an endpoint and its cached prefixes, and cancels the current reservation. */
 void bh__pool_remove_endpoint(BH__Pool *p, uint64_t endpoint_id)
 {
 	unreserve_(p);
@@ -125,29 +135,33 @@
 	bh__engines_remove(p->engines, endpoint_id);
 }
 
-static BH__Lane lane_of_(const BH__Pool *p, const BH__Ask *ask)
+/* Returns the lane of an ask, by the length of its prompt. */
+static BH__Lane get_lane_(const BH__Pool *p, const BH__Ask *ask)
 {
 	return ask->prompt_tokens > p->policy.long_tokens ? BH__LANE_LONG : BH__LANE_SHORT;
 }
 
-static unsigned long_cap_(const BH__Pool *p)
+/* Returns the maximum number of engines that may prefill long prompts at the same time. */
+static unsigned get_long_cap_(const BH__Pool *p)
 {
 	return bh__forecast_get_long_cap(&p->forecast, p->engines, &p->policy);
 }
 
-static uint64_t wait_us_(BH__Pool *p, BH__Lane lane, uint64_t now_us)
+/* Returns the predicted wait of a new ask in a lane. */
+static uint64_t get_wait_us_(BH__Pool *p, BH__Lane lane, uint64_t now_us)
 {
 	return bh__forecast_get_wait_us(&p->forecast, p->engines, &p->policy, p->queue, lane, now_us);
 }
 
-/* Returns how many engines long prompts may have to themselves while they prefill: their least share, which
- * holds however much short work there is. */
-static unsigned long_floor_(const BH__Pool *p)
+/* Returns the number of engines that may be dedicated to long prompts while these prefill: the policy's
+ * minimum share for long prompts, which holds under any load of short prompts. */
+static unsigned get_min_dedicated_(const BH__Pool *p)
 {
 	return (unsigned)(p->policy.min_long_share * bh__engines_get_count(p->engines) + 0.5);
 }
 
-static unsigned busy_with_long_(const BH__Pool *p)
+/* Returns the number of engines that run a long prefill. */
+static unsigned count_long_prefilling_(const BH__Pool *p)
 {
 	unsigned busy = 0;
 	for (unsigned i = 0; i < bh__engines_get_count(p->engines); i++)
@@ -155,6 +169,7 @@
 	return busy;
 }
 
+/* Refuses an ask, with a retry time between MIN_RETRY_AFTER_MS_ and MAX_RETRY_AFTER_MS_. */
 static void refuse_(BH__Pool *p, const BH__Ask *ask, BH__Reason reason, uint64_t retry_after_us)
 {
 	p->counters.refusals++;
@@ -162,23 +177,24 @@
 					CLAMP(retry_after_us / BH__MS_US, MIN_RETRY_AFTER_MS_, MAX_RETRY_AFTER_MS_));
 }
 
-/* Returns false if no engine has been usable for a while. */
-static bool has_engines_(BH__Pool *p, uint64_t now_us)
+/* Returns false if no engine has been usable for NO_ENGINE_GRACE_US_. The engines are searched only if the
+ * last usable one was seen at least USABLE_CHECK_INTERVAL_US_ ago. */
+static bool has_usable_engine_(BH__Pool *p, uint64_t now_us)
 {
-	if (!p->usable_us)
-		p->usable_us = now_us;
-	if (now_us < p->usable_us + USABLE_CHECK_US_)
+	if (!p->last_usable_us)
+		p->last_usable_us = now_us;
+	if (now_us < p->last_usable_us + USABLE_CHECK_INTERVAL_US_)
 		return true;
 	for (unsigned i = 0; i < bh__engines_get_count(p->engines); i++) {
 		if (bh__engine_is_usable(bh__engines_get(p->engines, i))) {
-			p->usable_us = now_us;
+			p->last_usable_us = now_us;
 			return true;
 		}
 	}
-	return now_us < p->usable_us + NO_ENGINE_GRACE_US_;
+	return now_us < p->last_usable_us + NO_ENGINE_GRACE_US_;
 }
 
-/* Returns false if the ask needs an adapter that no usable engine holds. */
+/* Returns false if the ask needs an adapter that no usable engine has loaded. */
 static bool has_adapter_(const BH__Pool *p, const BH__Ask *ask)
 {
 	for (unsigned i = 0; i < bh__engines_get_count(p->engines) && ask->adapter_id; i++)
@@ -187,26 +203,29 @@
 	return ask->adapter_id == 0;
 }
 
-/* Returns true if the engines together cannot hold the ask. Without any engine that is not known. */
+/* Returns true if the ask is long and its memory exceeds what a gang of the pool's engines can hold. Returns
+ * false if no usable engine serves long prompts, since the pool's capacity is then unknown. */
 static bool is_too_long_(const BH__Pool *p, const BH__Ask *ask)
 {
-	return lane_of_(p, ask) == BH__LANE_LONG && bh__engines_get_gang_size(p->engines, 0) &&
+	return get_lane_(p, ask) == BH__LANE_LONG && bh__engines_get_gang_size(p->engines, 0) &&
 		   !bh__engines_get_gang_size(p->engines, ask->kv_bytes);
 }
 
-/* Takes an ask: grants it now or later, or refuses it, at once if it could not finish in time. */
+/* Queues an ask, to be granted now or later, or refuses it. An ask is refused at once if no engine can serve
+ * it, if its prompt is too long for the pool, if the queue is full, or if its predicted end is past its
+ * deadline. An ask that waits already is ignored. */
 void bh__pool_process_ask(BH__Pool *p, const BH__Ask *ask, uint64_t now_us)
 {
-	BH__Lane lane = lane_of_(p, ask);
+	BH__Lane lane = get_lane_(p, ask);
 	uint64_t run_us = bh__forecast_get_run_us(&p->forecast, p->engines, ask, now_us);
-	uint64_t wait_us = wait_us_(p, lane, now_us);
+	uint64_t wait_us = get_wait_us_(p, lane, now_us);
 	uint32_t queued = bh__pool_get_queued(p);
 	BH__QueueEntry *e = NULL;
 
 	if (bh__queue_find(p->queue, ask->ask_id))
-		return; /* sent twice */
+		return; /* duplicate message */
 	bh__forecast_note_arrival(&p->forecast, lane, ask->prompt_tokens + ask->max_tokens, now_us);
-	if (!has_engines_(p, now_us) || !has_adapter_(p, ask))
+	if (!has_usable_engine_(p, now_us) || !has_adapter_(p, ask))
 		refuse_(p, ask, BH__REASON_NO_ENDPOINT, BH__SECOND_US);
 	else if (is_too_long_(p, ask))
 		refuse_(p, ask, BH__REASON_TOO_LONG, 0);
@@ -218,13 +237,12 @@
 		refuse_(p, ask, BH__REASON_OVERLOAD, wait_us + run_us - ask->deadline_us);
 	else
 		e = bh__queue_push(p->queue, ask, lane, now_us + ask->deadline_us - run_us, now_us);
-	if (e &&
-		e == bh__queue_get_first(p->queue, BH__LANE_SHORT)) /* it may fit where the ones behind it do not */
+	if (e && e == bh__queue_get_first(p->queue, BH__LANE_SHORT)) /* an engine may have the memory for it */
 		p->short_blocked = false;
-	pump_more_(p, now_us);
+	schedule_unblocked_(p, now_us);
 }
 
-/* Drops an ask that waits; one already granted is ended by its release. */
+/* Removes an ask from the queue without a refusal. An ask that is already granted is ended by its release. */
 void bh__pool_process_withdraw(BH__Pool *p, uint64_t ask_id)
 {
 	BH__QueueEntry *e = bh__queue_find(p->queue, ask_id);
@@ -235,30 +253,34 @@
 		bh__queue_remove(p->queue, e);
 }
 
-/* Grants all that can be granted, after something has changed. */
-static void pump_(BH__Pool *p, uint64_t now_us)
+/* Grants all asks that can be granted, after a change that may have made an engine available. */
+static void schedule_all_(BH__Pool *p, uint64_t now_us)
 {
 	p->short_blocked = false;
-	pump_more_(p, now_us);
+	schedule_unblocked_(p, now_us);
 }
 
-static void pump_more_(BH__Pool *p, uint64_t now_us)
+/* Grants all asks that can be granted, long ones first. Short asks are skipped while no engine can take the
+ * first of them. */
+static void schedule_unblocked_(BH__Pool *p, uint64_t now_us)
 {
-	if (p->pumping) /* a grant's receiver may call back */
+	if (p->is_scheduling) /* the port's callbacks may call the pool */
 		return;
-	p->pumping = true;
-	while (pump_long_(p, now_us))
+	p->is_scheduling = true;
+	while (schedule_long_(p, now_us))
 		;
-	while (!p->short_blocked && pump_short_(p, now_us))
+	while (!p->short_blocked && schedule_short_(p, now_us))
 		;
-	p->pumping = false;
+	p->is_scheduling = false;
 }
 
-static bool pump_short_(BH__Pool *p, uint64_t now_us)
+/* Grants one of the first SHORT_LOOKAHEAD_ short asks. Returns false, and marks the lane as blocked unless it
+ * is empty, if no engine can take any of them. */
+static bool schedule_short_(BH__Pool *p, uint64_t now_us)
 {
 	BH__QueueEntry *e = bh__queue_get_first(p->queue, BH__LANE_SHORT);
 
-	for (unsigned looks = 0; e && looks < SHORT_LOOKAHEAD_; looks++) {
+	for (unsigned tried = 0; e && tried < SHORT_LOOKAHEAD_; tried++) {
 		BH__Engine *engine = bh__engines_pick_short(p->engines, p->prefixes, &e->ask, now_us);
 		if (engine) {
 			grant_entry_(p, e, &engine, &e->ask.kv_bytes, 1, now_us);
@@ -270,28 +292,31 @@
 	return false;
 }
 
-/* Grants short asks on one engine that has got room, where all engines were full. What time alone makes
- * possible on the others is found at the next tick. */
-static void pump_engine_(BH__Pool *p, BH__Engine *engine, uint64_t now_us)
+/* Grants short asks on one engine whose memory has been released while the short lane was blocked. Other
+ * engines whose backlog has shrunk in the meantime are used at the next tick. */
+static void schedule_short_on_engine_(BH__Pool *p, BH__Engine *engine, uint64_t now_us)
 {
 	BH__QueueEntry *e = bh__queue_get_first(p->queue, BH__LANE_SHORT);
-	unsigned looks = 0;
+	unsigned tried = 0;
 
-	if (p->pumping)
+	if (p->is_scheduling)
 		return;
-	p->pumping = true;
-	while (e && looks < SHORT_LOOKAHEAD_) {
+	p->is_scheduling = true;
+	while (e && tried < SHORT_LOOKAHEAD_) {
 		BH__QueueEntry *next = bh__queue_get_next(e);
-		if (bh__engine_takes_short(engine, &e->ask, now_us))
+		if (bh__engine_can_take_short(engine, &e->ask, now_us))
 			grant_entry_(p, e, &engine, &e->ask.kv_bytes, 1, now_us);
 		else
-			looks++;
+			tried++;
 		e = next;
 	}
-	p->pumping = false;
+	p->is_scheduling = false;
 }
 
-static bool pump_long_(BH__Pool *p, uint64_t now_us)
+/* Makes progress in the long lane: reserves engines for its first ask, and grants that ask once its first
+ * engine has the memory free. Until then, later asks may be granted by backfill. Returns true if an ask was
+ * granted or refused, so that another call may do more. */
+static bool schedule_long_(BH__Pool *p, uint64_t now_us)
 {
 	BH__QueueEntry *e;
 	BH__Engine *engine[BH__GANG_MAX];
@@ -302,16 +327,16 @@
 		e = bh__queue_get_first(p->queue, BH__LANE_LONG);
 		if (!e)
 			return false;
-		if (is_too_long_(p, &e->ask)) { /* engines were lost since it came */
+		if (is_too_long_(p, &e->ask)) { /* engines have been lost since it arrived */
 			BH__Ask ask = e->ask;
 			bh__queue_remove(p->queue, e);
 			refuse_(p, &ask, BH__REASON_TOO_LONG, 0);
 			return true;
 		}
-		if (!reserve_(p, e, now_us)) /* it needs engines that other long prompts fill */
-			return now_us < e->arrived_us + PATIENCE_US_ && backfill_(p, now_us);
+		if (!reserve_(p, e, now_us)) /* too few engines can take it, or the cap is reached */
+			return now_us < e->arrived_us + BACKFILL_MAX_WAIT_US_ && backfill_(p, now_us);
 	}
-	if (!reservation_is_free_(p))
+	if (!is_reservation_ready_(p))
 		return backfill_(p, now_us);
 	r = p->reservation;
 	dedicated = bh__engines_find(p->engines, r.endpoint_id[0])->dedicated;
@@ -325,14 +350,15 @@
 	return true;
 }
 
-/* While the first long ask waits for its memory, grants one behind it that fits into what is free besides. */
+/* While the first long ask waits, grants one of the first BACKFILL_LOOKAHEAD_ long asks that fits on a single
+ * engine into memory that is neither in use nor reserved. Returns false if there is none. */
 static bool backfill_(BH__Pool *p, uint64_t now_us)
 {
 	BH__QueueEntry *e = bh__queue_get_first(p->queue, BH__LANE_LONG);
 
-	if (busy_with_long_(p) >= long_cap_(p))
+	if (count_long_prefilling_(p) >= get_long_cap_(p))
 		return false;
-	for (unsigned looks = 0; e && looks < BACKFILL_LOOKAHEAD_; looks++) {
+	for (unsigned tried = 0; e && tried < BACKFILL_LOOKAHEAD_; tried++) {
 		BH__Engine *engine[BH__GANG_MAX];
 		if (e->ask.ask_id != p->reservation.ask_id &&
 			bh__engines_pick_long(p->engines, p->prefixes, &e->ask, false, engine, now_us) == 1 &&
@@ -345,28 +371,32 @@
 	return false;
 }
 
-/* Chooses engines for the first long ask and has them keep its memory free. */
+/* Chooses the engines for the first long ask and reserves an equal share of its memory on each. While fewer
+ * engines than the minimum are dedicated to long prompts, the first engine becomes dedicated and may have any
+ * backlog. Returns false if too few engines can take the ask or if as many engines as the cap allows prefill
+ * long prompts. */
 static bool reserve_(BH__Pool *p, BH__QueueEntry *e, uint64_t now_us)
 {
 	BH__Engine *engine[BH__GANG_MAX];
-	bool below_floor = bh__engines_count_dedicated(p->engines) < long_floor_(p);
-	unsigned n = bh__engines_pick_long(p->engines, p->prefixes, &e->ask, below_floor, engine, now_us);
-	unsigned busy = busy_with_long_(p);
+	bool below_min_dedicated = bh__engines_count_dedicated(p->engines) < get_min_dedicated_(p);
+	unsigned n = bh__engines_pick_long(p->engines, p->prefixes, &e->ask, below_min_dedicated, engine, now_us);
+	unsigned busy = count_long_prefilling_(p);
 
-	if (!n || (busy > 0 && busy >= long_cap_(p)))
+	if (!n || (busy > 0 && busy >= get_long_cap_(p)))
 		return false;
 	p->reservation.ask_id = e->ask.ask_id;
 	p->reservation.count = n;
 	for (unsigned i = 0; i < n; i++) {
-		uint64_t part = (e->ask.kv_bytes + n - 1) / n;
+		uint64_t member_bytes = (e->ask.kv_bytes + n - 1) / n;
 		p->reservation.endpoint_id[i] = engine[i]->spec.endpoint_id;
-		p->reservation.kv_bytes[i] = part;
-		engine[i]->kv_reserved_bytes += part;
+		p->reservation.kv_bytes[i] = member_bytes;
+		engine[i]->kv_reserved_bytes += member_bytes;
 	}
-	engine[0]->dedicated = below_floor;
+	engine[0]->dedicated = below_min_dedicated;
 	return true;
 }
 
+/* Cancels the reservation, if there is one. The ask stays in the queue. */
 static void unreserve_(BH__Pool *p)
 {
 	for (unsigned i = 0; i < p->reservation.count; i++) {
@@ -379,9 +409,10 @@
 	memset(&p->reservation, 0, sizeof p->reservation);
 }
 
-/* Returns true once the memory reserved on the first engine is really free. The others drain while it works:
- * nothing new is put into what the prompt needs there. Gives the reservation up if an engine is lost. */
-static bool reservation_is_free_(BH__Pool *p)
+/* Returns true once the memory reserved on the first engine is free and it has a free stream. The other
+ * engines drain while the first one prefills, since no new work is granted their reserved memory. Cancels the
+ * reservation and returns false if one of its engines is no longer usable. */
+static bool is_reservation_ready_(BH__Pool *p)
 {
 	for (unsigned i = 0; i < p->reservation.count; i++) {
 		const BH__Engine *e = bh__engines_find(p->engines, p->reservation.endpoint_id[i]);
@@ -397,6 +428,9 @@
 	return true;
 }
 
+/* Grants a waiting ask `kv_bytes[i]` of memory on each of `count` engines and removes it from the queue. The
+ * first engine's backlog grows by the prefill of its part of the prompt, less the cached prefix for a grant
+ * on a single engine. */
 static void grant_entry_(BH__Pool *p, BH__QueueEntry *e, BH__Engine *const engine[],
 						 const uint64_t kv_bytes[], unsigned count, uint64_t now_us)
 {
@@ -429,7 +463,7 @@
 	p->port->grant(p->port, &g);
 }
 
-/* Gives each member of a gang an equal run of the prompt. */
+/* Divides the prompt into consecutive token ranges of equal length, one for each member of the grant. */
 static void split_prompt_(BH__Grant *g, uint64_t prompt_tokens)
 {
 	uint64_t done = 0;
@@ -442,7 +476,8 @@
 	}
 }
 
-/* Ends a grant. An engine that failed gets no work until its next good report. */
+/* Ends a grant. If the release reports a failure, the engine `failed_endpoint` gets no work until a report
+ * shows it as reachable again. An unknown grant or endpoint is ignored. */
 void bh__pool_process_release(BH__Pool *p, uint64_t grant_id, BH__ReleaseKind kind, uint64_t failed_endpoint,
 							  uint64_t now_us)
 {
@@ -454,18 +489,18 @@
 	if (entry && p->short_blocked && entry->grant.member_count == 1) {
 		BH__Engine *engine = bh__engines_find(p->engines, entry->grant.member[0].endpoint_id);
 		bh__ledger_end(p->ledger, entry, now_us);
-		pump_more_(p, now_us); /* long ones first */
+		schedule_unblocked_(p, now_us); /* long asks before short ones */
 		if (engine)
-			pump_engine_(p, engine, now_us);
+			schedule_short_on_engine_(p, engine, now_us);
 		return;
 	}
 	if (entry)
 		bh__ledger_end(p->ledger, entry, now_us);
-	pump_(p, now_us);
+	schedule_all_(p, now_us);
 }
 
-/* A member of a grant has done its prefill: its engine may take another prompt, memory permitting, and the
- * next member begins. */
+/* Handles the end of a member's prefill: its engine may take another prompt if it has the memory, and the
+ * next member's prefill begins. An unknown grant is ignored. */
 void bh__pool_process_progress(BH__Pool *p, uint64_t grant_id, uint64_t now_us)
 {
 	BH__LedgerEntry *entry = bh__ledger_find(p->ledger, grant_id);
@@ -473,18 +508,20 @@
 	if (!entry)
 		return;
 	bh__ledger_process_progress(p->ledger, entry, now_us);
-	pump_(p, now_us);
+	schedule_all_(p, now_us);
 }
 
-/* A node says which grants it holds, whole or by their ids alone. */
+/* Handles a node's list of the grants that it holds. `full` says that the grants are complete, so that
+ * unknown ones enter the ledger; otherwise only their ids are set. The node's grants from another boot end at
+ * once, and those that the list lacks end after a grace period. */
 void bh__pool_process_hold(BH__Pool *p, uint64_t node_id, uint64_t boot_id, bool full, const BH__Grant *grant,
 						   uint32_t count, uint64_t now_us)
 {
 	bh__ledger_process_hold(p->ledger, node_id, boot_id, full, grant, count, now_us);
-	pump_(p, now_us);
+	schedule_all_(p, now_us);
 }
 
-/* A node is gone: ends its grants and drops its asks. */
+/* Handles the loss of a node: ends its grants and removes its asks without a refusal. */
 void bh__pool_process_node_gone(BH__Pool *p, uint64_t node_id, uint64_t now_us)
 {
 	bh__ledger_process_node_gone(p->ledger, node_id, now_us);
@@ -497,10 +534,12 @@
 			e = next;
 		}
 	}
-	pump_(p, now_us);
+	schedule_all_(p, now_us);
 }
 
-/* Takes an engine's load report. */
+/* Handles an engine's load report: updates its rates and memory, compares its attempts with the ledger, and
+ * applies its cache events. If the engine was unreachable, it is only marked as such. A new incarnation
+ * starts with an empty cache. */
 void bh__pool_process_report(BH__Pool *p, const BH__LoadReport *r, uint64_t now_us)
 {
 	BH__Engine *e = bh__engines_find(p->engines, r->endpoint_id);
@@ -513,10 +552,10 @@
 	if (e->boot_id != r->boot_id) {
 		bh__prefix_index_remove_endpoint(p->prefixes, r->endpoint_id);
 		e->cache_next_sequence = 0;
-		e->kv_foreign_bytes = 0; /* of its earlier life */
+		e->kv_foreign_bytes = 0; /* held by the previous incarnation */
 		e->boot_id = r->boot_id;
 	}
-	e->reported |= r->has_attempts; /* until the first list what others run there is unknown */
+	e->reported |= r->has_attempts; /* before the first list, the memory in use is unknown */
 	e->kv_capacity_bytes = r->kv_total_bytes;
 	e->kv_reported_bytes = r->kv_used_bytes;
 	if (r->prefill_tokens_per_s)
@@ -525,10 +564,11 @@
 		e->token_us = (e->token_us + r->token_us) / 2;
 	if (r->has_attempts)
 		bh__ledger_process_report(p->ledger, e, r, now_us);
-	take_cache_events_(p, e, r);
-	pump_(p, now_us);
+	apply_cache_events_(p, e, r);
+	schedule_all_(p, now_us);
 }
 
+/* Passes an orphan found by the ledger to the port. */
 static void on_orphan_(void *ctx, uint64_t endpoint_id, const BH__ReportedAttempt *attempt)
 {
 	BH__Pool *p = ctx;
@@ -537,8 +577,9 @@
 	p->port->orphan(p->port, endpoint_id, attempt->attempt_id, attempt->owner_node, attempt->owner_boot);
 }
 
-/* Follows an engine's cache events; after a gap all that was known of it is forgotten. */
-static void take_cache_events_(BH__Pool *p, BH__Engine *e, const BH__LoadReport *r)
+/* Applies an engine's cache events to the prefix index. After a gap in their sequence numbers, first removes
+ * all prefixes of the engine, since evictions may have been lost. Events applied before are skipped. */
+static void apply_cache_events_(BH__Pool *p, BH__Engine *e, const BH__LoadReport *r)
 {
 	uint64_t sequence = r->cache_first_sequence;
 
@@ -551,7 +592,7 @@
 	for (uint32_t i = 0; i < r->cache_event_count; i++, sequence++) {
 		const BH__CacheEvent *ev = &r->cache_event[i];
 		if (sequence < e->cache_next_sequence)
-			continue; /* seen before */
+			continue; /* already applied */
 		if (ev->kind == BH__CACHE_ADDED)
 			bh__prefix_index_add(p->prefixes, ev->hash, r->endpoint_id);
 		else
@@ -560,24 +601,25 @@
 	e->cache_next_sequence = MAX(sequence, e->cache_next_sequence);
 }
 
-/* Refuses asks that can no longer finish in time and grants what time has made possible. */
+/* Refuses the asks that can no longer finish in time, and all asks if no engine is usable. Then grants the
+ * asks that have become possible as the engines' backlogs shrink. */
 void bh__pool_process_tick(BH__Pool *p, uint64_t now_us)
 {
 	BH__QueueEntry *e;
 
 	while ((e = bh__queue_get_expired(p->queue, now_us))) {
 		BH__Ask ask = e->ask;
-		uint64_t wait_us = wait_us_(p, e->lane, now_us);
+		uint64_t wait_us = get_wait_us_(p, e->lane, now_us);
 		bh__pool_process_withdraw(p, ask.ask_id);
 		refuse_(p, &ask, BH__REASON_OVERLOAD, wait_us);
 	}
-	if (!has_engines_(p, now_us))
+	if (!has_usable_engine_(p, now_us))
 		bh__pool_refuse_all(p, BH__REASON_NO_ENDPOINT);
 	bh__ledger_process_tick(p->ledger, now_us);
-	pump_(p, now_us);
+	schedule_all_(p, now_us);
 }
 
-/* Refuses all that waits: this node gives the pool up. */
+/* Refuses all waiting asks, with the minimum retry time; used when this node stops scheduling the pool. */
 void bh__pool_refuse_all(BH__Pool *p, BH__Reason reason)
 {
 	for (int lane = 0; lane < BH__LANE_COUNT; lane++) {
@@ -590,10 +632,11 @@
 	}
 }
 
-/* Fills in a digest for the nodes that choose among pools. */
+/* Fills in the pool's digest, from which nodes choose among pools. The short wait includes the smallest sum
+ * of backlog and stream delay among the usable engines. */
 void bh__pool_get_digest(BH__Pool *p, BH__PoolDigest *d, uint64_t now_us)
 {
-	uint64_t least_us = UINT64_MAX;
+	uint64_t min_delay_us = UINT64_MAX;
 
 	memset(d, 0, sizeof *d);
 	d->pool_id = p->pool_id;
@@ -606,13 +649,14 @@
 		d->endpoints++;
 		d->kv_total_bytes += e->kv_capacity_bytes;
 		d->kv_granted_bytes += e->kv_granted_bytes + e->kv_foreign_bytes;
-		least_us = MIN(least_us, bh__engine_get_backlog_us(e, 1, now_us) + e->streams * UINT64_C(500));
+		min_delay_us =
+			MIN(min_delay_us, bh__engine_get_backlog_us(e, 1, now_us) + e->streams * UINT64_C(500));
 	}
-	d->short_wait_us = wait_us_(p, BH__LANE_SHORT, now_us) + (d->endpoints ? least_us : 0);
-	d->long_wait_us = wait_us_(p, BH__LANE_LONG, now_us);
+	d->short_wait_us = get_wait_us_(p, BH__LANE_SHORT, now_us) + (d->endpoints ? min_delay_us : 0);
+	d->long_wait_us = get_wait_us_(p, BH__LANE_LONG, now_us);
 }
 
-/* Fills in what operators see of an endpoint. Returns false if the pool does not know it. */
+/* Fills in the state of an endpoint for operators. Returns false if the endpoint is not in the pool. */
 bool bh__pool_get_endpoint_state(const BH__Pool *p, uint64_t endpoint_id, BH__PoolEndpointState *state)
 {
 	const BH__Engine *e = bh__engines_find(p->engines, endpoint_id);
@@ -630,18 +674,21 @@
 	return true;
 }
 
-/* Returns the sequence number of the engine's next cache event that the pool has not seen. */
+/* Returns the sequence number of the engine's next cache event to apply; 0 if none has been applied or the
+ * endpoint is not in the pool. */
 uint64_t bh__pool_get_cache_sequence(const BH__Pool *p, uint64_t endpoint_id)
 {
 	const BH__Engine *e = bh__engines_find(p->engines, endpoint_id);
 	return e ? e->cache_next_sequence : 0;
 }
 
+/* Returns the number of asks that wait in both lanes. */
 uint32_t bh__pool_get_queued(const BH__Pool *p)
 {
 	return bh__queue_get_count(p->queue, BH__LANE_SHORT) + bh__queue_get_count(p->queue, BH__LANE_LONG);
 }
 
+/* Returns the counters, which stay valid as long as the pool. */
 const BH__PoolCounters *bh__pool_get_counters(const BH__Pool *p)
 {
 	return &p->counters;
--- a/src/test_libbayhoist/test_pairs.c
+++ b/src/test_libbayhoist/test_pairs.c
@@ -1,6 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Every fault after every other, and twice over, under a mix of requests: each request gets an outcome, no
- * engine holds memory once all is quiet, and what every scenario checks holds. */
+/* Runs every ordered pair of faults, including each fault twice, under a mix of requests. Each request must
+ * get an outcome, no engine may hold memory once the cluster is idle, and the checks of every scenario must
+ * pass. */
 #include <glib.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -8,11 +9,11 @@
 #include <cmocka.h>
 #include "scenario.h"
 
-/* What happens, with T1 for its time and T2 for the time of its end. */
+/* A fault, as scenario commands without their times. */
 typedef struct {
 	const char *name;
-	const char *begin;
-	const char *end;
+	const char *begin; /* command that causes it */
+	const char *end;   /* command that ends it; NULL: it has no end */
 } Fault;
 
 static const Fault Faults[] = {
@@ -37,27 +38,31 @@
 	 "apply y n2 {\"resources\":[{\"kind\":\"account\",\"name\":\"x\",\"spec\":{\"weight\":4}}]}"},
 };
 
-/* Times in ms at which the first and second fault begin and end; the pair overlaps. */
-static const int Begin[2] = {120, 420};
-static const int End[2] = {6000, 9000};
+/* Times in ms at which the first and the second fault begin and end. The two faults overlap. */
+static const int BeginMs[2] = {120, 420};
+static const int EndMs[2] = {6000, 9000};
 
+/* A line of a scenario script. */
 typedef struct {
-	int at_ms;
+	int at_ms; /* scenario time */
 	char *text;
-} Line;
+} ScriptLine;
 
-static void add_(GArray *lines, int at_ms, const char *text)
+/* Appends a copy of `text` as a line to run at `at_ms`. */
+static void add_line_(GArray *lines, int at_ms, const char *text)
 {
-	Line l = {at_ms, g_strdup(text)};
+	ScriptLine l = {at_ms, g_strdup(text)};
 	g_array_append_val(lines, l);
 }
 
-static gint by_time_(gconstpointer a, gconstpointer b)
+/* Compares two lines by time. */
+static gint compare_times_(gconstpointer a, gconstpointer b)
 {
-	return ((const Line *)a)->at_ms - ((const Line *)b)->at_ms;
+	return ((const ScriptLine *)a)->at_ms - ((const ScriptLine *)b)->at_ms;
 }
 
-static void add_requests_(GArray *lines, int at_ms, const char *suffix)
+/* Adds one of each kind of request at `at_ms`. `suffix` makes their names unique in the script. */
+static void add_request_lines_(GArray *lines, int at_ms, const char *suffix)
 {
 	static const char *const Requests[] = {"request page%s n1 tokens 1000",
 										   "request page2%s n2 tokens 3000",
@@ -74,31 +79,32 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(Requests); i++) {
 		char **part = g_strsplit(Requests[i], "%s", -1);
 		char *text = g_strjoinv(suffix, part);
-		add_(lines, at_ms, text);
+		add_line_(lines, at_ms, text);
 		g_free(text);
 		g_strfreev(part);
 	}
 }
 
-/* Makes the script of a pair. */
+/* Returns the scenario script of a pair of faults, to be freed with g_free(). Requests start before, during
+ * and after the two faults. */
 static char *make_script_(const Fault *first, const Fault *second)
 {
 	const Fault *fault[2] = {first, second};
-	GArray *lines = g_array_new(FALSE, FALSE, sizeof(Line));
+	GArray *lines = g_array_new(FALSE, FALSE, sizeof(ScriptLine));
 	GString *script = g_string_new("nodes 3\nengine e1 h1 200000\nengine e2 h1 200000\nengine e3 h2 200000\n"
 								   "engine e4 h2 200000\nengine e5 h3 200000\nengine e6 h3 200000\nbegin\n");
 
-	add_requests_(lines, 0, "a");
-	add_requests_(lines, 440, "b"); /* into both faults */
-	add_requests_(lines, 15000, "c");
+	add_request_lines_(lines, 0, "a");
+	add_request_lines_(lines, 440, "b"); /* while both faults last */
+	add_request_lines_(lines, 15000, "c");
 	for (int i = 0; i < 2; i++) {
-		add_(lines, Begin[i], fault[i]->begin);
+		add_line_(lines, BeginMs[i], fault[i]->begin);
 		if (fault[i]->end)
-			add_(lines, End[i], fault[i]->end);
+			add_line_(lines, EndMs[i], fault[i]->end);
 	}
-	g_array_sort(lines, by_time_);
+	g_array_sort(lines, compare_times_);
 	for (guint i = 0; i < lines->len; i++) {
-		Line *l = &g_array_index(lines, Line, i);
+		ScriptLine *l = &g_array_index(lines, ScriptLine, i);
 		g_string_append_printf(script, "%d %s\n", l->at_ms, l->text);
 		g_free(l->text);
 	}
@@ -107,8 +113,8 @@
 	return g_string_free(script, FALSE);
 }
 
-/* Runs the faults that follow the one that `state` names. */
-static void run_(void **state)
+/* Runs the pairs whose first fault is `*state`. Prints every failure before it fails the test. */
+static void run_pairs_(void **state)
 {
 	const Fault *first = *state;
 	unsigned failures = 0;
@@ -134,6 +140,6 @@
 
 	for (size_t i = 0; i < G_N_ELEMENTS(Faults); i++)
 		tests[i] = (struct CMUnitTest){
-			.name = Faults[i].name, .test_func = run_, .initial_state = (void *)&Faults[i]};
+			.name = Faults[i].name, .test_func = run_pairs_, .initial_state = (void *)&Faults[i]};
 	return _cmocka_run_group_tests("pairs", tests, G_N_ELEMENTS(Faults), NULL, NULL);
 }
