--- a/include/bayhoist/pool.h
+++ b/include/bayhoist/pool.h
@@ -69,13 +69,13 @@
 /* State of one endpoint, for operators. */
 typedef struct {
 	BH__PoolEndpoint spec;
-	uint64_t kv_granted_bytes;  /* granted by the ledger's entries */
-	uint64_t kv_reserved_bytes; /* kept free for a long prompt that waits for memory */
-	uint64_t kv_reported_bytes; /* in use according to the last report */
-	uint64_t kv_foreign_bytes;  /* held by attempts that the ledger has no grant for */
-	uint32_t streams;           /* grants that the engine takes part in */
-	uint32_t long_prefills;     /* long prefills begun and not reported done */
-	bool reachable;             /* according to the last report; false after a failed grant */
+	uint64_t kv_granted_bytes;     /* granted by the ledger's entries */
+	uint64_t kv_reserved_bytes;    /* kept free for a long prompt that waits for memory */
+	uint64_t kv_reported_bytes;    /* in use according to the last report */
+	uint64_t kv_unaccounted_bytes; /* held by attempts that the ledger has no grant for */
+	uint32_t streams;              /* grants that the engine takes part in */
+	uint32_t long_prefills;        /* long prefills begun and not reported done */
+	bool reachable;                /* according to the last report; false after a failed grant */
 } BH__PoolEndpointState;
 
 /* Counts since the pool was created. */
--- a/src/bayhoistd/admin.c
+++ b/src/bayhoistd/admin.c
@@ -189,7 +189,7 @@
 	add_u64_(status, "granted_bytes", state.kv_granted_bytes);
 	add_u64_(status, "reserved_bytes", state.kv_reserved_bytes);
 	add_u64_(status, "reported_bytes", state.kv_reported_bytes);
-	add_u64_(status, "foreign_bytes", state.kv_foreign_bytes);
+	add_u64_(status, "foreign_bytes", state.kv_unaccounted_bytes);
 	add_u64_(status, "streams", state.streams);
 	return status;
 }
--- a/src/libbayhoist/engines.c
+++ b/src/libbayhoist/engines.c
@@ -130,7 +130,7 @@
 /* Returns the bytes of engine memory that are neither granted, reserved nor held by unknown attempts. */
 uint64_t bh__engine_get_free(const BH__Engine *e)
 {
-	uint64_t used = e->kv_granted_bytes + e->kv_reserved_bytes + e->kv_foreign_bytes;
+	uint64_t used = e->kv_granted_bytes + e->kv_reserved_bytes + e->kv_unaccounted_bytes;
 	return used < e->kv_capacity_bytes ? e->kv_capacity_bytes - used : 0;
 }
 
--- a/src/libbayhoist/include/private/engines.h
+++ b/src/libbayhoist/include/private/engines.h
@@ -10,12 +10,12 @@
 /* What the scheduler knows of one engine. */
 typedef struct {
 	BH__PoolEndpoint spec;
-	uint64_t kv_capacity_bytes; /* from the endpoint's spec or the last report; 0: not known */
-	uint64_t kv_granted_bytes;  /* granted by the ledger's entries */
-	uint64_t kv_reserved_bytes; /* kept free for a long prompt that waits for memory */
-	uint64_t kv_foreign_bytes;  /* held by attempts that the ledger has no grant for */
-	uint64_t kv_reported_bytes; /* in use according to the last report */
-	uint32_t streams;           /* grants that the engine takes part in */
+	uint64_t kv_capacity_bytes;    /* from the endpoint's spec or the last report; 0: not known */
+	uint64_t kv_granted_bytes;     /* granted by the ledger's entries */
+	uint64_t kv_reserved_bytes;    /* kept free for a long prompt that waits for memory */
+	uint64_t kv_unaccounted_bytes; /* held by attempts that the ledger has no grant for */
+	uint64_t kv_reported_bytes;    /* in use according to the last report */
+	uint32_t streams;              /* grants that the engine takes part in */
 	uint32_t prefills; /* prefills begun and not reported done, without those of the smallest size class */
 	uint32_t long_prefills; /* those of them that are of long prompts */
 	uint64_t kv_long_bytes; /* part of the granted bytes that long prompts hold */
--- a/src/libbayhoist/ledger.c
+++ b/src/libbayhoist/ledger.c
@@ -221,19 +221,19 @@
 	for (unsigned i = 0; i < g->member_count; i++) {
 		BH__Engine *e = bh__engines_find(l->engines, g->member[i].endpoint_id);
 		if (e)
-			e->kv_foreign_bytes += g->member[i].kv_bytes;
+			e->kv_unaccounted_bytes += g->member[i].kv_bytes;
 	}
 }
 
 /* Compares an engine's attempts with the ledger. */
 void bh__ledger_process_report(BH__Ledger *l, BH__Engine *e, const BH__LoadReport *r, uint64_t now_us)
 {
-	e->kv_foreign_bytes = 0;
+	e->kv_unaccounted_bytes = 0;
 	for (uint32_t i = 0; i < r->attempt_count; i++) {
 		const BH__ReportedAttempt *a = &r->attempt[i];
 		if (bh__ledger_find(l, a->attempt_id) || g_hash_table_contains(l->ended, &a->attempt_id))
 			continue;
-		e->kv_foreign_bytes += a->kv_bytes;
+		e->kv_unaccounted_bytes += a->kv_bytes;
 		note_orphan_(l, e, a, now_us);
 	}
 }
--- a/src/libbayhoist/pool.c
+++ b/src/libbayhoist/pool.c
@@ -420,9 +420,9 @@
 			unreserve_(p);
 			return false;
 		}
-		if (i == 0 &&
-			(e->kv_granted_bytes + e->kv_foreign_bytes + p->reservation.kv_bytes[0] > e->kv_capacity_bytes ||
-			 e->streams >= e->spec.max_streams))
+		if (i == 0 && (e->kv_granted_bytes + e->kv_unaccounted_bytes + p->reservation.kv_bytes[0] >
+						   e->kv_capacity_bytes ||
+					   e->streams >= e->spec.max_streams))
 			return false;
 	}
 	return true;
@@ -552,7 +552,7 @@
 	if (e->boot_id != r->boot_id) {
 		bh__prefix_index_remove_endpoint(p->prefixes, r->endpoint_id);
 		e->cache_next_sequence = 0;
-		e->kv_foreign_bytes = 0; /* held by the previous incarnation */
+		e->kv_unaccounted_bytes = 0; /* held by the previous incarnation */
 		e->boot_id = r->boot_id;
 	}
 	e->reported |= r->has_attempts; /* before the first list, the memory in use is unknown */
@@ -648,7 +648,7 @@
 			continue;
 		d->endpoints++;
 		d->kv_total_bytes += e->kv_capacity_bytes;
-		d->kv_granted_bytes += e->kv_granted_bytes + e->kv_foreign_bytes;
+		d->kv_granted_bytes += e->kv_granted_bytes + e->kv_unaccounted_bytes;
 		min_delay_us =
 			MIN(min_delay_us, bh__engine_get_backlog_us(e, 1, now_us) + e->streams * UINT64_C(500));
 	}
@@ -667,7 +667,7 @@
 	state->kv_granted_bytes = e->kv_granted_bytes;
 	state->kv_reserved_bytes = e->kv_reserved_bytes;
 	state->kv_reported_bytes = e->kv_reported_bytes;
-	state->kv_foreign_bytes = e->kv_foreign_bytes;
+	state->kv_unaccounted_bytes = e->kv_unaccounted_bytes;
 	state->streams = e->streams;
 	state->long_prefills = e->long_prefills;
 	state->reachable = e->reachable;
--- a/src/test_libbayhoist/test_pool.c
+++ b/src/test_libbayhoist/test_pool.c
@@ -112,7 +112,7 @@
 }
 
 /* Four equal short prompts go to four different engines. */
-static void spreads_shorts_(void **state)
+static void short_prompts_are_spread_over_engines_(void **state)
 {
 	Fixture *f = *state;
 	unsigned grants_on[5] = {0};
@@ -127,7 +127,7 @@
 }
 
 /* A prompt goes to the engine that has cached its prefix. A gap in the cache events is counted. */
-static void prefers_the_cached_prefix_(void **state)
+static void cached_prefix_is_preferred_(void **state)
 {
 	Fixture *f = *state;
 	BH__CacheEvent cache = {BH__CACHE_ADDED, 0};
@@ -161,7 +161,7 @@
 
 /* A prompt larger than one engine's memory gets a gang whose token ranges cover it without gaps. A prompt
  * larger than the memory of all engines is refused. */
-static void gangs_are_whole_(void **state)
+static void gang_members_cover_whole_prompt_(void **state)
 {
 	Fixture *f = *state;
 	const BH__Grant *g;
@@ -181,7 +181,7 @@
 
 /* Guards against starvation of a long prompt: short prompts are still granted while it waits, but not the
  * memory that it waits for, so that it is granted when the earlier grants end. */
-static void a_waiting_long_keeps_its_memory_free_(void **state)
+static void waiting_long_prompt_reserves_memory_(void **state)
 {
 	Fixture *f = *state;
 	guint granted;
@@ -214,7 +214,7 @@
 
 /* Guards against memory that stays granted after the release message is lost: the node's next list of held
  * grants ends the grant. */
-static void lost_releases_are_made_good_(void **state)
+static void hold_list_ends_grants_with_lost_release_(void **state)
 {
 	Fixture *f = *state;
 	BH__PoolEndpointState s;
@@ -232,7 +232,7 @@
 
 /* A new scheduler counts an unknown attempt as used memory until the owner's hold list brings its grant. The
  * attempt must not become an orphan afterwards. */
-static void a_new_scheduler_learns_grants_(void **state)
+static void new_scheduler_rebuilds_ledger_from_hold_list_(void **state)
 {
 	Fixture *f = *state;
 	BH__PoolEndpointState s;
@@ -241,20 +241,20 @@
 
 	send_report_(f, 2, &a, 1); /* before the node's hold list arrives: counts as used */
 	bh__pool_get_endpoint_state(f->pool, 2, &s);
-	assert_int_equal(s.kv_foreign_bytes, 400000);
+	assert_int_equal(s.kv_unaccounted_bytes, 400000);
 	g.member[0] = (BH__GrantMember){.endpoint_id = 2, .kv_bytes = 400000};
 	bh__pool_process_hold(f->pool, 7, 7, true, &g, 1, f->now_us);
 	send_report_(f, 2, &a, 1);
 	bh__pool_get_endpoint_state(f->pool, 2, &s);
 	assert_int_equal(s.kv_granted_bytes, 400000);
-	assert_int_equal(s.kv_foreign_bytes, 0);
+	assert_int_equal(s.kv_unaccounted_bytes, 0);
 	f->now_us += 20 * BH__SECOND_US;
 	send_report_(f, 2, &a, 1);
 	assert_int_equal(f->orphans, 0);
 }
 
 /* An attempt without a grant is reported as an orphan only after it has been seen for some seconds. */
-static void orphans_are_told_after_a_while_(void **state)
+static void orphan_is_reported_after_grace_period_(void **state)
 {
 	Fixture *f = *state;
 	BH__ReportedAttempt a = {.attempt_id = 5, .owner_node = 7, .owner_boot = 7, .kv_bytes = 400000};
@@ -269,7 +269,7 @@
 }
 
 /* Of an unreachable, a leaving, an unready and a usable engine, only the last one is granted work. */
-static void leaving_and_dead_engines_get_nothing_(void **state)
+static void leaving_unready_and_unreachable_engines_get_no_work_(void **state)
 {
 	Fixture *f = *state;
 	BH__LoadReport unreachable = {.endpoint_id = 1};
@@ -292,7 +292,7 @@
 }
 
 /* An ask for an adapter is refused if no engine has loaded it, and otherwise goes to the engine that has. */
-static void adapters_are_minded_(void **state)
+static void ask_goes_only_to_engines_with_its_adapter_(void **state)
 {
 	Fixture *f = *state;
 	BH__PoolEndpoint e = {.endpoint_id = 3,
@@ -345,7 +345,7 @@
 
 /* A large ask is served after some small ones of other accounts, but a steady stream of these does not starve
  * it. */
-static void queue_gives_small_work_first_and_starves_none_(void **state)
+static void queue_prefers_small_work_without_starvation_(void **state)
 {
 	BH__Queue *q = bh__queue_new();
 	BH__Ask large = {.ask_id = 1, .account_id = 1, .weight = 1, .prompt_tokens = 20000};
@@ -374,17 +374,18 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(spreads_shorts_, set_up_, tear_down_),
-		cmocka_unit_test_setup_teardown(prefers_the_cached_prefix_, set_up_, tear_down_),
-		cmocka_unit_test_setup_teardown(gangs_are_whole_, set_up_, tear_down_),
-		cmocka_unit_test_setup_teardown(a_waiting_long_keeps_its_memory_free_, set_up_, tear_down_),
-		cmocka_unit_test_setup_teardown(lost_releases_are_made_good_, set_up_, tear_down_),
-		cmocka_unit_test_setup_teardown(a_new_scheduler_learns_grants_, set_up_, tear_down_),
-		cmocka_unit_test_setup_teardown(orphans_are_told_after_a_while_, set_up_, tear_down_),
-		cmocka_unit_test_setup_teardown(leaving_and_dead_engines_get_nothing_, set_up_, tear_down_),
-		cmocka_unit_test_setup_teardown(adapters_are_minded_, set_up_, tear_down_),
+		cmocka_unit_test_setup_teardown(short_prompts_are_spread_over_engines_, set_up_, tear_down_),
+		cmocka_unit_test_setup_teardown(cached_prefix_is_preferred_, set_up_, tear_down_),
+		cmocka_unit_test_setup_teardown(gang_members_cover_whole_prompt_, set_up_, tear_down_),
+		cmocka_unit_test_setup_teardown(waiting_long_prompt_reserves_memory_, set_up_, tear_down_),
+		cmocka_unit_test_setup_teardown(hold_list_ends_grants_with_lost_release_, set_up_, tear_down_),
+		cmocka_unit_test_setup_teardown(new_scheduler_rebuilds_ledger_from_hold_list_, set_up_, tear_down_),
+		cmocka_unit_test_setup_teardown(orphan_is_reported_after_grace_period_, set_up_, tear_down_),
+		cmocka_unit_test_setup_teardown(leaving_unready_and_unreachable_engines_get_no_work_, set_up_,
+										tear_down_),
+		cmocka_unit_test_setup_teardown(ask_goes_only_to_engines_with_its_adapter_, set_up_, tear_down_),
 		cmocka_unit_test(queue_is_fair_over_accounts_),
-		cmocka_unit_test(queue_gives_small_work_first_and_starves_none_),
+		cmocka_unit_test(queue_prefers_small_work_without_starvation_),
 	};
 	return cmocka_run_group_tests_name("pool", tests, NULL, NULL);
 }
