--- a/src/libbayhoist/admission.c
+++ b/src/libbayhoist/admission.c
@@ -87,7 +87,7 @@
 		return NULL;
 	if (n->counters.live < n->options.max_requests)
 		return model;
-	refuse_(out, BH__REASON_OVERLOAD, BH__SECOND_US, "this node has reached its limit of %u requests",
+	refuse_(out, BH__REASON_OVERLOAD, BH__SECOND_US, "this node holds %u requests, its limit",
 			n->counters.live);
 	release_key_(n, *idempotency_entry);
 	return NULL;
