--- a/include/bayhoist/crash_reports.h
+++ b/include/bayhoist/crash_reports.h
@@ -1,16 +1,16 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Reports of requests whose endpoint broke off, gathered by endpoint until it is known whether it has
- * crashed. One node gathers those of a service. No I/O, no clock of its own. */
+/* Collects reports of aborted requests by endpoint until it is known whether the endpoint has crashed. One
+ * node collects the reports of a service. The module does no I/O, and the caller supplies the time. */
 #ifndef BAYHOIST_CRASH_REPORTS_H
 #define BAYHOIST_CRASH_REPORTS_H
 
 #include "bayhoist/quarantine.h"
 
-/* What a look at an endpoint that broke off a request has shown. */
+/* Result of the liveness probe of an endpoint that aborted a request. */
 typedef enum {
-	BH__CRASH_UNKNOWN, /* nothing yet, or it is silent: it may be behind a cut */
-	BH__CRASH_DENIED,  /* it takes connections */
-	BH__CRASH_PROVEN   /* nobody listens at its address, or it says that it has started since */
+	BH__CRASH_UNKNOWN, /* no result, or unresponsive, which may be a network partition */
+	BH__CRASH_DENIED,  /* the endpoint accepts connections */
+	BH__CRASH_PROVEN   /* its address refuses connections, or the endpoint reports a later start */
 } BH__CrashProof;
 
 extern const char *const BH__CrashProofString[];
@@ -19,10 +19,10 @@
 
 BH__CrashReports *bh__crash_reports_new(void);
 void bh__crash_reports_delete(BH__CrashReports *r);
-bool bh__crash_reports_process(BH__CrashReports *r, uint64_t endpoint_id, uint64_t born_ms,
+bool bh__crash_reports_process(BH__CrashReports *r, uint64_t endpoint_id, uint64_t started_ms,
 							   const BH__CrashSuspect *suspect, uint64_t now_us);
 void bh__crash_reports_process_proof(BH__CrashReports *r, uint64_t endpoint_id, BH__CrashProof proof);
-void bh__crash_reports_process_start(BH__CrashReports *r, uint64_t endpoint_id, uint64_t born_ms);
+void bh__crash_reports_process_start(BH__CrashReports *r, uint64_t endpoint_id, uint64_t started_ms);
 bool bh__crash_reports_judge(BH__CrashReports *r, BH__Quarantine *q, GArray *changed, uint64_t now_us);
 uint64_t bh__crash_reports_get_due_us(const BH__CrashReports *r);
 
--- a/include/bayhoist/crash_watch.h
+++ b/include/bayhoist/crash_watch.h
@@ -1,9 +1,10 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* One node's part in knowing requests that crash endpoints. A node whose sending broke off reports that to
- * the node which judges the crashes of the service. That one has the endpoint looked at, gathers who was
- * under way there, and tells all nodes of requests that are suspected of a second crash or are held. Probes
- * among nodes carry a hash of these entries, so that one which has missed something is told. While no
- * endpoint breaks off a request this costs no message. No I/O, no clock of its own. */
+/* Detection of requests that crash endpoints, on one node. A node whose dispatch was aborted by an endpoint
+ * reports it to the node that evaluates the crashes of the service. The evaluating node starts a liveness
+ * probe of the endpoint, collects the requests that were under way there, and notifies all nodes of requests
+ * that have met a second crash or are quarantined. Pings between nodes carry a hash of these entries, so that
+ * a node that has missed an update receives it. No messages are sent while no endpoint aborts a request. The
+ * module does no I/O, and the caller supplies the time. */
 #ifndef BAYHOIST_CRASH_WATCH_H
 #define BAYHOIST_CRASH_WATCH_H
 
@@ -13,14 +14,14 @@
 
 typedef struct BH__CrashPort {
 	void (*send)(struct BH__CrashPort *port, uint64_t node_id, BH__Message *m);
-	/* Tells when an endpoint started (0: not known). Returns false if it is not known, or leaves: such a one
-	 * breaks off what it must. */
-	bool (*find_endpoint)(struct BH__CrashPort *port, uint64_t endpoint_id, uint64_t *born_ms);
-	/* Looks whether an endpoint still listens; bh__crash_watch_process_proof() is called with what that
-	 * shows. */
+	/* Stores the endpoint's start time in ms (0: unknown). Returns false if the endpoint is unknown, or is
+	 * leaving: a leaving endpoint may abort requests without a crash. */
+	bool (*find_endpoint)(struct BH__CrashPort *port, uint64_t endpoint_id, uint64_t *started_ms);
+	/* Starts a liveness probe of an endpoint; bh__crash_watch_process_proof() takes the result. */
 	void (*look)(struct BH__CrashPort *port, uint64_t endpoint_id);
-	/* A request is suspected of two crashes or more, held, or not any more; `judged` by this node. */
-	void (*changed)(struct BH__CrashPort *port, const BH__QuarantineEntry *entry, bool judged);
+	/* Called when the entry of a request with evidence of two crashes or more has changed. `evaluated`: the
+	 * change was made by this node rather than merged from another. */
+	void (*changed)(struct BH__CrashPort *port, const BH__QuarantineEntry *entry, bool evaluated);
 } BH__CrashPort;
 
 typedef struct BH__CrashWatch BH__CrashWatch;
@@ -28,13 +29,13 @@
 BH__CrashWatch *bh__crash_watch_new(BH__CrashPort *port, BH__Members *members);
 void bh__crash_watch_delete(BH__CrashWatch *w);
 void bh__crash_watch_note_broken(BH__CrashWatch *w, uint64_t service_id, uint64_t endpoint_id,
-								 const BH__Fingerprint *f, bool helped, uint64_t now_us);
+								 const BH__Fingerprint *f, bool for_helper, uint64_t now_us);
 void bh__crash_watch_note_served(BH__CrashWatch *w, uint64_t service_id, const BH__Fingerprint *f,
 								 bool was_broken, uint64_t now_us);
 bool bh__crash_watch_process_message(BH__CrashWatch *w, const BH__Message *m, uint64_t now_us);
 void bh__crash_watch_process_proof(BH__CrashWatch *w, uint64_t endpoint_id, BH__CrashProof proof,
 								   uint64_t now_us);
-void bh__crash_watch_process_start(BH__CrashWatch *w, uint64_t endpoint_id, uint64_t born_ms,
+void bh__crash_watch_process_start(BH__CrashWatch *w, uint64_t endpoint_id, uint64_t started_ms,
 								   uint64_t now_us);
 void bh__crash_watch_process_tick(BH__CrashWatch *w, uint64_t now_us);
 uint64_t bh__crash_watch_get_due_us(const BH__CrashWatch *w);
--- a/include/bayhoist/quarantine.h
+++ b/include/bayhoist/quarantine.h
@@ -1,7 +1,8 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Requests that crash the endpoints which run them (queries of death): which are suspected, which are kept
- * from endpoints, on what evidence, and until when. The node that judges the crashes of a service's endpoints
- * enters them here; the others learn its entries. No I/O, no clock of its own. */
+/* Table of requests that may crash the endpoints which run them (queries of death). An entry holds whether
+ * the request is suspected or quarantined, the evidence against it, and when its state expires. The node that
+ * evaluates the crashes of a service's endpoints adds entries; the other nodes merge them. The module does no
+ * I/O, and the caller supplies the time. */
 #ifndef BAYHOIST_QUARANTINE_H
 #define BAYHOIST_QUARANTINE_H
 
@@ -9,20 +10,22 @@
 #include "bayhoist/fingerprint.h"
 #include "bayhoist/types.h"
 
-/* Evidence is counted in halves of a crash. Three crashes condemn a request: of 218 that ran beside two such
- * ones, over 28 s, 120 met a second crash. */
+/* The unit of evidence is half a crash. Three crashes quarantine a request. Two would be too few: of 218
+ * innocent requests that ran beside two crashing ones over 28 s, 120 were under way in a second crash. */
 #define BH__CRASH_WEIGHT 2
 #define BH__CONDEMNING_WEIGHT (3 * BH__CRASH_WEIGHT)
-/* One crash more where another request was under way each time: either may be the cause. */
+/* Threshold for a request that shares the most evidence with another request of the crash. It is one crash
+ * higher because either may be the cause. */
 #define BH__CONDEMNING_WEIGHT_SHARED (4 * BH__CRASH_WEIGHT)
-/* Other nodes are told of entries from here on: most requests beside a crash meet no second one. */
+/* Weight from which the other nodes are notified of an entry. It is two crashes because most requests that
+ * are under way in one crash are in no second one. */
 #define BH__TOLD_WEIGHT (2 * BH__CRASH_WEIGHT)
-#define BH__QUARANTINE_CRASHES_MAX 4 /* endpoints that an entry names, the first ones */
+#define BH__QUARANTINE_CRASHES_MAX 4 /* crashed endpoints listed in an entry, the first ones */
 
 typedef enum {
-	BH__QUARANTINE_SUSPECTED, /* was under way in crashes; is sent on like any other */
-	BH__QUARANTINE_HELD,      /* is refused */
-	BH__QUARANTINE_PROBATION, /* was held for its time: one more crash and it is held again */
+	BH__QUARANTINE_SUSPECTED, /* was under way in crashes; is still dispatched */
+	BH__QUARANTINE_HELD,      /* quarantined: refused */
+	BH__QUARANTINE_PROBATION, /* quarantine expired; one more crash renews it */
 	BH__QUARANTINE_CLEARED,   /* was served, or released by an operator */
 	BH__QUARANTINE_STATE_COUNT
 } BH__QuarantineState;
@@ -30,41 +33,41 @@
 extern const char *const BH__QuarantineStateString[];
 
 typedef enum {
-	BH__QUARANTINE_CRASH,   /* of an endpoint that it was under way on */
-	BH__QUARANTINE_CONDEMN, /* the same, and that was one too many */
-	BH__QUARANTINE_SERVE,   /* an endpoint has run it to a good end */
-	BH__QUARANTINE_RELEASE, /* an operator's word */
-	BH__QUARANTINE_EXPIRE,  /* its time is over */
+	BH__QUARANTINE_CRASH,   /* an endpoint crashed while the request was under way on it */
+	BH__QUARANTINE_CONDEMN, /* the same, and the evidence reaches the threshold */
+	BH__QUARANTINE_SERVE,   /* an endpoint completed the request */
+	BH__QUARANTINE_RELEASE, /* an operator released the request */
+	BH__QUARANTINE_EXPIRE,  /* the time of its state has ended */
 	BH__QUARANTINE_EVENT_COUNT
 } BH__QuarantineEvent;
 
 typedef struct {
 	BH__Fingerprint fingerprint;
 	BH__QuarantineState state;
-	uint32_t version;    /* grows with each change; of two entries of a request the higher one holds */
-	uint32_t weight;     /* of the evidence, in halves of a crash */
-	uint32_t times_held; /* in a row: each time is twice as long */
-	uint64_t since_us;   /* of its state, or of the last evidence while it is suspected */
-	uint8_t crash_count; /* of the endpoints below */
-	uint64_t crash[BH__QUARANTINE_CRASHES_MAX]; /* ids of endpoints that crashed under it */
+	uint32_t version;    /* incremented on each change; the higher version wins a merge */
+	uint32_t weight;     /* evidence, in halves of a crash */
+	uint32_t times_held; /* consecutive quarantines; each lasts twice as long as the last */
+	uint64_t since_us;   /* start of the state; time of the last evidence if suspected */
+	uint8_t crash_count; /* number of endpoints in `crash` */
+	uint64_t crash[BH__QUARANTINE_CRASHES_MAX]; /* ids of endpoints that crashed */
 } BH__QuarantineEntry;
 
-/* One request that was under way on an endpoint that crashed. */
+/* A request that was under way on an endpoint when it crashed. */
 typedef struct {
 	BH__Fingerprint fingerprint;
-	uint32_t weight; /* BH__CRASH_WEIGHT, or less where the endpoint only helped with it */
+	uint32_t weight; /* BH__CRASH_WEIGHT, or half of it if the endpoint was only a helper */
 } BH__CrashSuspect;
 
-/* What was found when a crash was judged. */
+/* Result of evaluating a crash; zeros before the first evaluation. */
 typedef struct {
-	uint32_t most;    /* evidence that there was against any of its suspects */
-	uint32_t sharing; /* suspects that had that much */
+	uint32_t max_weight; /* highest prior evidence against any suspect of the crash, in halves of a crash */
+	uint32_t max_weight_count; /* number of suspects with that weight */
 } BH__CrashFinding;
 
 typedef struct {
-	uint64_t held;     /* requests that came to be held */
-	uint64_t cleared;  /* that were suspected or held, and were not any more */
-	uint64_t refusals; /* of requests that were held */
+	uint64_t held;     /* requests that became quarantined */
+	uint64_t cleared;  /* requests that were cleared of suspicion or quarantine */
+	uint64_t refusals; /* refused requests because of quarantine */
 } BH__QuarantineCounters;
 
 typedef struct BH__Quarantine BH__Quarantine;
@@ -81,7 +84,7 @@
 uint64_t bh__quarantine_get_held_us(BH__Quarantine *q, const BH__Fingerprint *f, uint64_t now_us);
 void bh__quarantine_note_refusal(BH__Quarantine *q);
 const BH__QuarantineEntry *bh__quarantine_find(const BH__Quarantine *q, const BH__Fingerprint *f);
-void bh__quarantine_list(const BH__Quarantine *q, bool only_told, GArray *out);
+void bh__quarantine_list(const BH__Quarantine *q, bool only_notified, GArray *out);
 uint64_t bh__quarantine_get_hash(const BH__Quarantine *q);
 const BH__QuarantineCounters *bh__quarantine_get_counters(const BH__Quarantine *q);
 
--- a/src/libbayhoist/crash_reports.c
+++ b/src/libbayhoist/crash_reports.c
@@ -1,29 +1,29 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Cases of endpoints that broke off requests: who was under way there, and whether it was a crash. */
+/* Crash cases: for each endpoint that aborted requests, the suspects and whether the endpoint crashed. */
 #include "bayhoist/crash_reports.h"
 
-/* A case is judged so long after its first report: all connections of an engine that crashed broke within 3
- * ms at nine nodes, and the look at it takes a few more. */
+/* Delay from the first report of a case to its evaluation. On nine nodes, all connections to a crashed engine
+ * broke within 3 ms, and the liveness probe takes a few more. */
 #define SETTLE_US_ (60 * BH__MS_US)
-/* A case is closed after this: an endpoint that is back says so within some seconds. */
-#define CASE_US_ (10 * BH__SECOND_US)
-/* A report that comes so long after a case was opened and judged begins another one: the endpoint may have
- * lived then and crash now, or be back and crash again. */
-#define NEXT_CRASH_US_ (500 * BH__MS_US)
-#define CASES_MAX_ 1024 /* endpoints that may break off at once; there are 870 */
+/* Lifetime of a case. A restarted endpoint reports its start within a few seconds. */
+#define CASE_LIFETIME_US_ (10 * BH__SECOND_US)
+/* A report that arrives this long after a case was opened and evaluated opens a new case: the endpoint may
+ * have survived then and crashed now, or have restarted and crashed again. */
+#define NEW_CASE_US_ (500 * BH__MS_US)
+#define CASES_MAX_ 1024 /* endpoints that may abort requests at once; the platform has 870 */
 
 const char *const BH__CrashProofString[] = {"unknown", "denied", "proven"};
 
-/* An endpoint that broke off requests. */
+/* An endpoint that aborted requests, and the requests. */
 typedef struct {
 	uint64_t endpoint_id;
-	uint64_t born_ms; /* start of the endpoint that broke off; 0: not known */
-	uint64_t opened_us;
-	uint64_t judged_us; /* 0: not yet */
+	uint64_t started_ms;   /* start time of the endpoint when it aborted; 0: unknown */
+	uint64_t opened_us;    /* time of the first report */
+	uint64_t evaluated_us; /* time of the first evaluation; 0: not evaluated */
 	BH__CrashProof proof;
 	BH__CrashFinding finding;
-	GArray *suspects; /* BH__CrashSuspect, each request once */
-	guint judged;     /* of the suspects, the first ones */
+	GArray *suspects;      /* BH__CrashSuspect, one for each request */
+	guint evaluated_count; /* number of suspects evaluated, the first ones of `suspects` */
 } Case_;
 
 struct BH__CrashReports {
@@ -58,6 +58,7 @@
 	g_free(c);
 }
 
+/* Opens a case for an endpoint, in place of an earlier one. */
 static Case_ *open_case_(BH__CrashReports *r, uint64_t endpoint_id, uint64_t now_us)
 {
 	Case_ *c = g_new0(Case_, 1);
@@ -69,20 +70,21 @@
 	return c;
 }
 
-/* Takes a report that an endpoint, which had started at `born_ms`, broke off a request. Returns true if it is
- * the first of a case: then the endpoint is to be looked at. */
-bool bh__crash_reports_process(BH__CrashReports *r, uint64_t endpoint_id, uint64_t born_ms,
+/* Processes a report that an endpoint, started at `started_ms` (0: unknown), aborted a request. Returns true
+ * if the report opens a case, so that the caller must probe the endpoint. Ignores the report if the endpoint
+ * has no case and CASES_MAX_ are open. */
+bool bh__crash_reports_process(BH__CrashReports *r, uint64_t endpoint_id, uint64_t started_ms,
 							   const BH__CrashSuspect *suspect, uint64_t now_us)
 {
 	Case_ *c = g_hash_table_lookup(r->cases, &endpoint_id);
-	bool is_over = c && now_us >= MAX(c->opened_us, c->judged_us) + NEXT_CRASH_US_;
-	bool is_new = !c || is_over;
+	bool is_next_crash = c && now_us >= MAX(c->opened_us, c->evaluated_us) + NEW_CASE_US_;
+	bool is_new = !c || is_next_crash;
 
 	if (!c && g_hash_table_size(r->cases) >= CASES_MAX_)
 		return false;
 	if (is_new) {
 		c = open_case_(r, endpoint_id, now_us);
-		c->born_ms = born_ms;
+		c->started_ms = started_ms;
 	}
 	for (guint i = 0; i < c->suspects->len; i++)
 		if (bh__fingerprint_equal(&g_array_index(c->suspects, BH__CrashSuspect, i).fingerprint,
@@ -92,8 +94,8 @@
 	return is_new;
 }
 
-/* Takes what a look at an endpoint has shown. A proof stays one: the endpoint may be back by the next look.
- */
+/* Stores the result of a liveness probe. A confirmed crash stays confirmed because the endpoint may have
+ * restarted by the next probe. */
 void bh__crash_reports_process_proof(BH__CrashReports *r, uint64_t endpoint_id, BH__CrashProof proof)
 {
 	Case_ *c = g_hash_table_lookup(r->cases, &endpoint_id);
@@ -102,23 +104,25 @@
 		c->proof = proof;
 }
 
-/* An endpoint says when it has started: if that is since it broke off requests, it had ended. */
-void bh__crash_reports_process_start(BH__CrashReports *r, uint64_t endpoint_id, uint64_t born_ms)
+/* Processes the start time that an endpoint reports. A later start than that of the case confirms the
+ * crash. */
+void bh__crash_reports_process_start(BH__CrashReports *r, uint64_t endpoint_id, uint64_t started_ms)
 {
 	const Case_ *c = g_hash_table_lookup(r->cases, &endpoint_id);
 
-	if (c && c->born_ms && born_ms > c->born_ms)
+	if (c && c->started_ms && started_ms > c->started_ms)
 		bh__crash_reports_process_proof(r, endpoint_id, BH__CRASH_PROVEN);
 }
 
+/* Returns true if a case is a confirmed crash, has settled, and has suspects to evaluate. */
 static bool is_due_(const Case_ *c, uint64_t now_us)
 {
 	return c->proof == BH__CRASH_PROVEN && now_us >= c->opened_us + SETTLE_US_ &&
-		   c->judged < c->suspects->len;
+		   c->evaluated_count < c->suspects->len;
 }
 
-/* Judges the crashes that are proven and have settled; entries that changed are added to `changed`. Returns
- * true if there was one. */
+/* Evaluates the confirmed crashes that have settled, appends the entries that changed to `changed`, and
+ * closes expired cases. Returns true if a crash was evaluated. */
 bool bh__crash_reports_judge(BH__CrashReports *r, BH__Quarantine *q, GArray *changed, uint64_t now_us)
 {
 	bool any = false;
@@ -131,19 +135,19 @@
 		if (is_due_(c, now_us)) {
 			any = true;
 			bh__quarantine_process_crash(q, c->endpoint_id,
-										 &g_array_index(c->suspects, BH__CrashSuspect, c->judged),
-										 c->suspects->len - c->judged, &c->finding, changed, now_us);
-			c->judged = c->suspects->len;
-			c->judged_us = c->judged_us ? c->judged_us : now_us;
+										 &g_array_index(c->suspects, BH__CrashSuspect, c->evaluated_count),
+										 c->suspects->len - c->evaluated_count, &c->finding, changed, now_us);
+			c->evaluated_count = c->suspects->len;
+			c->evaluated_us = c->evaluated_us ? c->evaluated_us : now_us;
 		}
-		if (now_us >= c->opened_us + CASE_US_)
+		if (now_us >= c->opened_us + CASE_LIFETIME_US_)
 			g_hash_table_iter_remove(&it);
 	}
 	return any;
 }
 
-/* Returns when bh__crash_reports_judge() is to be called next; UINT64_MAX: not before the next report or
- * proof. */
+/* Returns the time at which bh__crash_reports_judge() must be called next; UINT64_MAX: not before the next
+ * report or probe result. */
 uint64_t bh__crash_reports_get_due_us(const BH__CrashReports *r)
 {
 	uint64_t due_us = UINT64_MAX;
@@ -153,7 +157,7 @@
 	g_hash_table_iter_init(&it, r->cases);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const Case_ *c = value;
-		if (c->judged < c->suspects->len && c->proof == BH__CRASH_PROVEN)
+		if (c->evaluated_count < c->suspects->len && c->proof == BH__CRASH_PROVEN)
 			due_us = MIN(due_us, c->opened_us + SETTLE_US_);
 	}
 	return due_us;
--- a/src/libbayhoist/crash_watch.c
+++ b/src/libbayhoist/crash_watch.c
@@ -1,16 +1,19 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Reports of crashes among the nodes, and what all of them know of requests that cause them. */
+/* Exchange of crash reports and quarantine entries among the nodes. */
 #include "bayhoist/crash_watch.h"
 
-#define REPORT_KEPT_US_ (2 * BH__SECOND_US) /* and told again if another node comes to judge meanwhile */
-#define REPORTS_MAX_ 1024
-#define TELL_PERIOD_US_ (500 * BH__MS_US) /* between times that one node is told all entries */
+/* Time for which a report is kept. If another node becomes the evaluating node meanwhile, the report is sent
+ * to that node too. */
+#define REPORT_LIFETIME_US_ (2 * BH__SECOND_US)
+#define REPORTS_MAX_ 1024 /* reports kept; further ones are sent only once */
+/* Minimum time between two messages with all entries to the same node. */
+#define NOTIFY_INTERVAL_US_ (500 * BH__MS_US)
 
-/* A report that this node has made. */
+/* A report made by this node. */
 typedef struct {
 	uint64_t service_id;
-	uint64_t at_us;
-	uint64_t judge; /* node that was told */
+	uint64_t at_us;     /* time of the report */
+	uint64_t evaluator; /* id of the node to which the report was last sent */
 	BH__Message message;
 } Report_;
 
@@ -18,20 +21,20 @@
 	BH__CrashPort *port;
 	BH__Members *members;
 	BH__Quarantine *quarantine;
-	BH__CrashReports *reports; /* that this node gathers */
-	GArray *sent;              /* Report_ */
-	GHashTable *told_us;       /* by node id: when it was last told all entries */
-	uint64_t judged;           /* crashes that were proven */
+	BH__CrashReports *reports; /* reports that this node evaluates */
+	GArray *sent_reports;      /* Report_ made by this node and still kept */
+	GHashTable *notified_us;   /* by node id: time at which all entries were last sent to it */
+	uint64_t evaluated;        /* rounds of evaluation with at least one confirmed crash */
 };
 
-static uint64_t judge_(const BH__CrashWatch *w, uint64_t service_id);
+static uint64_t get_evaluator_(const BH__CrashWatch *w, uint64_t service_id);
 static void send_report_(BH__CrashWatch *w, Report_ *r, uint64_t now_us);
-static void take_report_(BH__CrashWatch *w, const BH__Message *m, uint64_t now_us);
-static void compare_(BH__CrashWatch *w, uint64_t node_id, uint64_t hash, uint64_t now_us);
-static void judge_due_(BH__CrashWatch *w, uint64_t now_us);
-static void take_changes_(BH__CrashWatch *w, const GArray *changed, bool judged, uint64_t now_us);
-static void take_change_(BH__CrashWatch *w, const BH__Fingerprint *f, uint64_t now_us);
-static void tell_(BH__CrashWatch *w, uint64_t node_id, const GArray *entries, uint64_t now_us);
+static void process_report_(BH__CrashWatch *w, const BH__Message *m, uint64_t now_us);
+static void compare_hash_(BH__CrashWatch *w, uint64_t node_id, uint64_t hash, uint64_t now_us);
+static void evaluate_due_(BH__CrashWatch *w, uint64_t now_us);
+static void publish_changes_(BH__CrashWatch *w, const GArray *changed, bool evaluated, uint64_t now_us);
+static void publish_change_(BH__CrashWatch *w, const BH__Fingerprint *f, uint64_t now_us);
+static void send_entries_(BH__CrashWatch *w, uint64_t node_id, const GArray *entries, uint64_t now_us);
 
 BH__CrashWatch *bh__crash_watch_new(BH__CrashPort *port, BH__Members *members)
 {
@@ -41,8 +44,8 @@
 	w->members = members;
 	w->quarantine = bh__quarantine_new();
 	w->reports = bh__crash_reports_new();
-	w->sent = g_array_new(FALSE, FALSE, sizeof(Report_));
-	w->told_us = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
+	w->sent_reports = g_array_new(FALSE, FALSE, sizeof(Report_));
+	w->notified_us = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
 	return w;
 }
 
@@ -50,26 +53,26 @@
 {
 	if (!w)
 		return;
-	g_hash_table_unref(w->told_us);
-	g_array_unref(w->sent);
+	g_hash_table_unref(w->notified_us);
+	g_array_unref(w->sent_reports);
 	bh__crash_reports_delete(w->reports);
 	bh__quarantine_delete(w->quarantine);
 	g_free(w);
 }
 
-/* Returns what this node knows of requests that crash endpoints. */
+/* Returns this node's table of suspected and quarantined requests. */
 BH__Quarantine *bh__crash_watch_get_quarantine(const BH__CrashWatch *w)
 {
 	return w->quarantine;
 }
 
-/* Returns the number of crashes that this node has judged. */
+/* Returns how often this node has evaluated crashes; crashes that are due together count once. */
 uint64_t bh__crash_watch_get_judged(const BH__CrashWatch *w)
 {
-	return w->judged;
+	return w->evaluated;
 }
 
-/* Returns true if a request has met two crashes: one more may show that it is the cause. */
+/* Returns true if a request has met two crashes and is not quarantined: one more may quarantine it. */
 bool bh__crash_watch_is_suspected(const BH__CrashWatch *w, const BH__Fingerprint *f)
 {
 	const BH__QuarantineEntry *e = bh__quarantine_find(w->quarantine, f);
@@ -78,18 +81,20 @@
 		   (e->state == BH__QUARANTINE_SUSPECTED || e->state == BH__QUARANTINE_PROBATION);
 }
 
-/* Returns the node that judges the crashes of a service's endpoints: the one that would schedule it. */
-static uint64_t judge_(const BH__CrashWatch *w, uint64_t service_id)
+/* Returns the id of the node that evaluates the crashes of a service's endpoints: the node that the ring
+ * picks to schedule the service, or this node if there is none. */
+static uint64_t get_evaluator_(const BH__CrashWatch *w, uint64_t service_id)
 {
 	uint64_t node = bh__members_pick(w->members, service_id, NULL);
 
 	return node ? node : bh__members_get_self(w->members)->node_id;
 }
 
-/* An endpoint of a service broke off a request: it may have crashed, and the request be the cause. `helped`:
- * the endpoint only helped with it, which weighs half, since each such request has many helpers. */
+/* Reports that an endpoint of a service aborted a request, which may be the cause of a crash. `for_helper`:
+ * the endpoint was only a helper of the request. That weighs half, because each such request has many
+ * helpers. */
 void bh__crash_watch_note_broken(BH__CrashWatch *w, uint64_t service_id, uint64_t endpoint_id,
-								 const BH__Fingerprint *f, bool helped, uint64_t now_us)
+								 const BH__Fingerprint *f, bool for_helper, uint64_t now_us)
 {
 	Report_ r = {.service_id = service_id, .at_us = now_us};
 
@@ -97,13 +102,14 @@
 	r.message.as.suspect.event = BH__QUARANTINE_CRASH;
 	r.message.as.suspect.endpoint_id = endpoint_id;
 	r.message.as.suspect.suspect.fingerprint = *f;
-	r.message.as.suspect.suspect.weight = helped ? BH__CRASH_WEIGHT / 2 : BH__CRASH_WEIGHT;
+	r.message.as.suspect.suspect.weight = for_helper ? BH__CRASH_WEIGHT / 2 : BH__CRASH_WEIGHT;
 	send_report_(w, &r, now_us);
-	if (w->sent->len < REPORTS_MAX_)
-		g_array_append_val(w->sent, r);
+	if (w->sent_reports->len < REPORTS_MAX_)
+		g_array_append_val(w->sent_reports, r);
 }
 
-/* A request was served. If it was suspected (`was_broken`: by a report of this node), it is not any more. */
+/* Reports that a request was served, which clears it. Sends nothing if the request has no entry to clear,
+ * unless this node has reported it before (`was_broken`). */
 void bh__crash_watch_note_served(BH__CrashWatch *w, uint64_t service_id, const BH__Fingerprint *f,
 								 bool was_broken, uint64_t now_us)
 {
@@ -118,25 +124,27 @@
 	send_report_(w, &r, now_us);
 }
 
+/* Sends a report to the evaluating node, or processes it here if that is this node. */
 static void send_report_(BH__CrashWatch *w, Report_ *r, uint64_t now_us)
 {
-	r->judge = judge_(w, r->service_id);
-	if (r->judge == bh__members_get_self(w->members)->node_id)
-		take_report_(w, &r->message, now_us);
+	r->evaluator = get_evaluator_(w, r->service_id);
+	if (r->evaluator == bh__members_get_self(w->members)->node_id)
+		process_report_(w, &r->message, now_us);
 	else
-		w->port->send(w->port, r->judge, &r->message);
+		w->port->send(w->port, r->evaluator, &r->message);
 }
 
-/* Takes a message. Returns false if it does not concern crashes, or others have to see it too. */
+/* Processes a message. Returns false if other modules must process it too: if it is a ping or an answer to
+ * one, or does not concern crashes. */
 bool bh__crash_watch_process_message(BH__CrashWatch *w, const BH__Message *m, uint64_t now_us)
 {
 	switch (m->type) {
 	case BH__MESSAGE_PING:
 	case BH__MESSAGE_ACK:
-		compare_(w, m->from_node, m->as.ping.quarantine_hash, now_us);
+		compare_hash_(w, m->from_node, m->as.ping.quarantine_hash, now_us);
 		return false;
 	case BH__MESSAGE_SUSPECT:
-		take_report_(w, m, now_us);
+		process_report_(w, m, now_us);
 		return true;
 	case BH__MESSAGE_QUARANTINE:
 		for (uint32_t i = 0; i < m->as.quarantine.count; i++)
@@ -147,91 +155,94 @@
 	}
 }
 
-/* A node reports what happened to a request. Nothing is judged here: whoever reports is in the middle of that
- * request's end, and what comes to be held is ended. */
-static void take_report_(BH__CrashWatch *w, const BH__Message *m, uint64_t now_us)
+/* Processes a node's report on a request. No crash is evaluated here: this may run while the reporting code
+ * is ending that request, and an evaluation may quarantine requests and thereby end them. */
+static void process_report_(BH__CrashWatch *w, const BH__Message *m, uint64_t now_us)
 {
 	const BH__CrashSuspect *suspect = &m->as.suspect.suspect;
 	uint64_t endpoint_id = m->as.suspect.endpoint_id;
-	uint64_t born_ms;
+	uint64_t started_ms;
 
 	if (m->as.suspect.event != BH__QUARANTINE_CRASH) {
 		if (bh__quarantine_process_event(w->quarantine, &suspect->fingerprint, m->as.suspect.event, now_us))
-			take_change_(w, &suspect->fingerprint, now_us);
+			publish_change_(w, &suspect->fingerprint, now_us);
 		return;
 	}
-	if (!w->port->find_endpoint(w->port, endpoint_id, &born_ms))
+	if (!w->port->find_endpoint(w->port, endpoint_id, &started_ms))
 		return;
-	if (bh__crash_reports_process(w->reports, endpoint_id, born_ms, suspect, now_us))
+	if (bh__crash_reports_process(w->reports, endpoint_id, started_ms, suspect, now_us))
 		w->port->look(w->port, endpoint_id);
 }
 
-/* Takes what a look at an endpoint that broke off a request has shown. */
+/* Processes the result of the liveness probe of an endpoint that aborted a request. */
 void bh__crash_watch_process_proof(BH__CrashWatch *w, uint64_t endpoint_id, BH__CrashProof proof,
 								   uint64_t now_us)
 {
 	bh__crash_reports_process_proof(w->reports, endpoint_id, proof);
-	judge_due_(w, now_us);
+	evaluate_due_(w, now_us);
 }
 
-/* An endpoint says when it has started: if that is since it broke off requests, it had crashed. */
-void bh__crash_watch_process_start(BH__CrashWatch *w, uint64_t endpoint_id, uint64_t born_ms, uint64_t now_us)
+/* Processes the start time that an endpoint reports. A start later than that in its crash case confirms the
+ * crash. */
+void bh__crash_watch_process_start(BH__CrashWatch *w, uint64_t endpoint_id, uint64_t started_ms,
+								   uint64_t now_us)
 {
-	bh__crash_reports_process_start(w->reports, endpoint_id, born_ms);
-	judge_due_(w, now_us);
+	bh__crash_reports_process_start(w->reports, endpoint_id, started_ms);
+	evaluate_due_(w, now_us);
 }
 
-/* Judges the crashes that are due. */
-static void judge_due_(BH__CrashWatch *w, uint64_t now_us)
+/* Evaluates the crashes that are due and publishes the entries that change. */
+static void evaluate_due_(BH__CrashWatch *w, uint64_t now_us)
 {
 	GArray *changed = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
 
 	if (bh__crash_reports_judge(w->reports, w->quarantine, changed, now_us))
-		w->judged++;
-	take_changes_(w, changed, true, now_us);
+		w->evaluated++;
+	publish_changes_(w, changed, true, now_us);
 	g_array_unref(changed);
 }
 
-/* Returns when bh__crash_watch_process_tick() is to be called at the latest; UINT64_MAX: as usual. */
+/* Returns the latest time for the next bh__crash_watch_process_tick(); UINT64_MAX: its regular period is
+ * enough. */
 uint64_t bh__crash_watch_get_due_us(const BH__CrashWatch *w)
 {
 	return bh__crash_reports_get_due_us(w->reports);
 }
 
-/* Entries have changed: this node's program and, where this node judged, the other nodes hear of those that
- * have met two crashes. */
-static void take_changes_(BH__CrashWatch *w, const GArray *changed, bool judged, uint64_t now_us)
+/* Publishes changed entries that have met two crashes or more: calls the port's `changed` and, if this node
+ * made the changes (`evaluated`), notifies the other nodes. Updates the hash in this node's pings. */
+static void publish_changes_(BH__CrashWatch *w, const GArray *changed, bool evaluated, uint64_t now_us)
 {
-	GArray *told = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
+	GArray *shared = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
 
 	for (guint i = 0; i < changed->len; i++) {
 		const BH__QuarantineEntry *e = &g_array_index(changed, BH__QuarantineEntry, i);
 		if (e->weight >= BH__TOLD_WEIGHT)
-			g_array_append_val(told, *e);
+			g_array_append_val(shared, *e);
 	}
-	for (unsigned i = 1; judged && told->len && i < bh__members_get_count(w->members); i++) {
+	for (unsigned i = 1; evaluated && shared->len && i < bh__members_get_count(w->members); i++) {
 		const BH__MemberInfo *info = bh__members_get(w->members, i);
 		if (info->state != BH__MEMBER_DEAD)
-			tell_(w, info->node_id, told, now_us);
+			send_entries_(w, info->node_id, shared, now_us);
 	}
 	bh__members_set_quarantine(w->members, bh__quarantine_get_hash(w->quarantine));
-	for (guint i = 0; i < told->len; i++)
-		w->port->changed(w->port, &g_array_index(told, BH__QuarantineEntry, i), judged);
-	g_array_unref(told);
+	for (guint i = 0; i < shared->len; i++)
+		w->port->changed(w->port, &g_array_index(shared, BH__QuarantineEntry, i), evaluated);
+	g_array_unref(shared);
 }
 
-/* The same for the entry of one request, which this node has changed. */
-static void take_change_(BH__CrashWatch *w, const BH__Fingerprint *f, uint64_t now_us)
+/* Publishes the entry of one request that this node has changed. */
+static void publish_change_(BH__CrashWatch *w, const BH__Fingerprint *f, uint64_t now_us)
 {
 	GArray *changed = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
 
 	g_array_append_val(changed, *bh__quarantine_find(w->quarantine, f));
-	take_changes_(w, changed, true, now_us);
+	publish_changes_(w, changed, true, now_us);
 	g_array_unref(changed);
 }
 
-/* Tells a node of entries, with their ages. */
-static void tell_(BH__CrashWatch *w, uint64_t node_id, const GArray *entries, uint64_t now_us)
+/* Sends entries to a node; in the message, `since_us` is the age. */
+static void send_entries_(BH__CrashWatch *w, uint64_t node_id, const GArray *entries, uint64_t now_us)
 {
 	BH__Message m = {.type = BH__MESSAGE_QUARANTINE};
 	GArray *aged = g_array_sized_new(FALSE, FALSE, sizeof(BH__QuarantineEntry), entries->len);
@@ -247,23 +258,26 @@
 	g_array_unref(aged);
 }
 
-/* Another node's probe shows what it knows: if that is not the same, it is told all that this node does. */
-static void compare_(BH__CrashWatch *w, uint64_t node_id, uint64_t hash, uint64_t now_us)
+/* Compares the hash in another node's ping with this node's, and sends that node all shared entries if they
+ * differ, at most once in NOTIFY_INTERVAL_US_. */
+static void compare_hash_(BH__CrashWatch *w, uint64_t node_id, uint64_t hash, uint64_t now_us)
 {
-	uint64_t *told_us = g_hash_table_lookup(w->told_us, &node_id);
+	uint64_t *notified_us = g_hash_table_lookup(w->notified_us, &node_id);
 	GArray *entries;
 
-	if (hash == bh__quarantine_get_hash(w->quarantine) || (told_us && now_us < *told_us + TELL_PERIOD_US_))
+	if (hash == bh__quarantine_get_hash(w->quarantine) ||
+		(notified_us && now_us < *notified_us + NOTIFY_INTERVAL_US_))
 		return;
-	g_hash_table_replace(w->told_us, g_memdup2(&node_id, sizeof node_id), g_memdup2(&now_us, sizeof now_us));
+	g_hash_table_replace(w->notified_us, g_memdup2(&node_id, sizeof node_id),
+						 g_memdup2(&now_us, sizeof now_us));
 	entries = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
 	bh__quarantine_list(w->quarantine, true, entries);
 	if (entries->len)
-		tell_(w, node_id, entries, now_us);
+		send_entries_(w, node_id, entries, now_us);
 	g_array_unref(entries);
 }
 
-/* Takes an entry that another node or a record tells; `since_us` is its age. */
+/* Merges an entry from another node or a stored record; its `since_us` is an age. */
 void bh__crash_watch_learn(BH__CrashWatch *w, const BH__QuarantineEntry *aged, uint64_t now_us)
 {
 	GArray *changed = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
@@ -272,29 +286,30 @@
 	e.since_us = now_us - aged->since_us;
 	if (bh__quarantine_learn(w->quarantine, &e, now_us))
 		g_array_append_val(changed, e);
-	take_changes_(w, changed, false, now_us);
+	publish_changes_(w, changed, false, now_us);
 	g_array_unref(changed);
 }
 
-/* An operator lets a request go. Returns false if it is neither suspected nor held. */
+/* Releases a request at an operator's command. Returns false if it has no entry or is already cleared. */
 bool bh__crash_watch_release(BH__CrashWatch *w, const BH__Fingerprint *f, uint64_t now_us)
 {
 	if (!bh__quarantine_process_event(w->quarantine, f, BH__QUARANTINE_RELEASE, now_us))
 		return false;
-	take_change_(w, f, now_us);
+	publish_change_(w, f, now_us);
 	return true;
 }
 
-/* Tells reports again to a node that judges since, ends what has lasted for its time, judges what is due. */
+/* Sends kept reports again if the evaluating node has changed, expires quarantine entries, and evaluates the
+ * crashes that are due. */
 void bh__crash_watch_process_tick(BH__CrashWatch *w, uint64_t now_us)
 {
-	for (guint i = w->sent->len; i-- > 0;) {
-		Report_ *r = &g_array_index(w->sent, Report_, i);
-		if (now_us >= r->at_us + REPORT_KEPT_US_)
-			g_array_remove_index_fast(w->sent, i);
-		else if (judge_(w, r->service_id) != r->judge)
+	for (guint i = w->sent_reports->len; i-- > 0;) {
+		Report_ *r = &g_array_index(w->sent_reports, Report_, i);
+		if (now_us >= r->at_us + REPORT_LIFETIME_US_)
+			g_array_remove_index_fast(w->sent_reports, i);
+		else if (get_evaluator_(w, r->service_id) != r->evaluator)
 			send_report_(w, r, now_us);
 	}
 	bh__quarantine_process_tick(w->quarantine, now_us);
-	judge_due_(w, now_us);
+	evaluate_due_(w, now_us);
 }
--- a/src/libbayhoist/quarantine.c
+++ b/src/libbayhoist/quarantine.c
@@ -1,62 +1,66 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The table of requests that are suspected to crash endpoints. */
+/* Table of requests suspected of crashing endpoints. */
 #include "bayhoist/quarantine.h"
 
 #include <string.h>
 #include "bayhoist/hash.h"
 
-/* A suspect without a further crash is forgotten: by then its caller has given up or been served. */
-#define SUSPECT_US_ (60 * BH__SECOND_US)
-/* For which a request is held at first; twice as long each time after that. One that goes on crashing what
- * runs it costs one endpoint in ten minutes, then in twenty. */
-#define HELD_US_ (600 * BH__SECOND_US)
-#define HELD_DOUBLINGS_ 7 /* up to 21 hours */
-#define ENTRIES_MAX_ 2048 /* of 100 bytes each; the oldest suspects go first */
-/* Two nodes that judge one after the other may both be told of one crash; an endpoint is not back and crashes
- * again so soon. */
+/* Lifetime of a suspected or cleared entry since its last evidence or its clearing. By then the caller has
+ * abandoned the request or received an answer. */
+#define SUSPECT_LIFETIME_US_ (60 * BH__SECOND_US)
+/* Duration of the first quarantine; each further one lasts twice as long. A request that keeps crashing
+ * endpoints therefore costs one endpoint after ten minutes, the next after twenty. */
+#define QUARANTINE_US_ (600 * BH__SECOND_US)
+#define QUARANTINE_DOUBLINGS_MAX_ 7 /* up to 21 hours */
+/* Entries of the table, of 100 bytes each. The oldest entries that are not quarantined are evicted first. */
+#define ENTRIES_MAX_ 2048
+/* Interval in which a further report of the same endpoint is the same crash. When the evaluating node
+ * changes, both nodes may receive a report of one crash; no endpoint restarts and crashes again within this
+ * time. */
 #define SAME_CRASH_US_ BH__SECOND_US
-/* A crash is explained, for a request under way in it, by another one that has more than this more evidence
- * against it. Where any more explains it, evidence against a second such request is lost beside the
- * first: 2.45 sendings a run later than 0.3 s after the third crash, for 0.68 with this (bench_suspects,
- * 1,000 runs). */
+/* A crash does not count against a request if another request under way in it has more evidence by more than
+ * this lead. Without the lead, evidence against a second crashing request is lost while the first is the
+ * stronger suspect: 2.45 dispatches per run later than 0.3 s after the third crash, compared with 0.68 with
+ * the lead (bench_suspects, 1,000 runs). */
 #define EXPLAINED_LEAD_ BH__CRASH_WEIGHT
-#define NO_STATE_ BH__QUARANTINE_STATE_COUNT /* the entry is dropped */
+#define REMOVE_ENTRY_ BH__QUARANTINE_STATE_COUNT /* no state: the entry is removed */
 
 const char *const BH__QuarantineStateString[] = {"suspected", "held", "probation", "cleared"};
 
-/* What becomes of an entry. One that is cleared stays for a while, so that a node which has not heard of it
- * does not bring the old one back. */
-static const BH__QuarantineState Next_[BH__QUARANTINE_STATE_COUNT][BH__QUARANTINE_EVENT_COUNT] = {
-	/* crash, condemn, serve, release, expire */
+/* State transitions by state and event. A cleared entry remains until it expires, so that a node that has not
+ * received the clearing does not restore the older entry. */
+static const BH__QuarantineState Transitions_[BH__QUARANTINE_STATE_COUNT][BH__QUARANTINE_EVENT_COUNT] = {
+	/* crash, crash that reaches the threshold, serve, release, expire */
 	{BH__QUARANTINE_SUSPECTED, BH__QUARANTINE_HELD, BH__QUARANTINE_CLEARED, BH__QUARANTINE_CLEARED,
-	 NO_STATE_},
+	 REMOVE_ENTRY_},
 	{BH__QUARANTINE_HELD, BH__QUARANTINE_HELD, BH__QUARANTINE_CLEARED, BH__QUARANTINE_CLEARED,
 	 BH__QUARANTINE_PROBATION},
-	{BH__QUARANTINE_HELD, BH__QUARANTINE_HELD, BH__QUARANTINE_CLEARED, BH__QUARANTINE_CLEARED, NO_STATE_},
+	{BH__QUARANTINE_HELD, BH__QUARANTINE_HELD, BH__QUARANTINE_CLEARED, BH__QUARANTINE_CLEARED, REMOVE_ENTRY_},
 	{BH__QUARANTINE_SUSPECTED, BH__QUARANTINE_HELD, BH__QUARANTINE_CLEARED, BH__QUARANTINE_CLEARED,
-	 NO_STATE_},
+	 REMOVE_ENTRY_},
 };
 
 struct BH__Quarantine {
-	GHashTable *entries; /* BH__QuarantineEntry by its fingerprint */
+	GHashTable *entries; /* BH__QuarantineEntry by fingerprint */
 	BH__QuarantineCounters counters;
 };
 
 static guint hash_fingerprint_(gconstpointer key);
 static gboolean equal_fingerprints_(gconstpointer a, gconstpointer b);
 static BH__QuarantineEntry *find_(const BH__Quarantine *q, const BH__Fingerprint *f);
-static BH__QuarantineEntry *add_(BH__Quarantine *q, const BH__Fingerprint *f, uint64_t now_us);
+static BH__QuarantineEntry *find_or_add_(BH__Quarantine *q, const BH__Fingerprint *f, uint64_t now_us);
 static bool is_older_(const BH__QuarantineEntry *a, const BH__QuarantineEntry *b);
-static void make_room_(BH__Quarantine *q);
-static uint32_t weight_(const BH__Quarantine *q, const BH__Fingerprint *f);
-static void weigh_(const BH__Quarantine *q, const BH__CrashSuspect *suspect, unsigned count,
-				   BH__CrashFinding *finding);
+static void evict_oldest_(BH__Quarantine *q);
+static uint32_t get_weight_(const BH__Quarantine *q, const BH__Fingerprint *f);
+static void find_max_weight_(const BH__Quarantine *q, const BH__CrashSuspect *suspect, unsigned count,
+							 BH__CrashFinding *finding);
 static bool is_counted_(const BH__Quarantine *q, const BH__CrashSuspect *s, uint64_t endpoint_id,
 						uint64_t now_us);
 static void add_evidence_(BH__QuarantineEntry *e, uint64_t endpoint_id, uint32_t weight, uint64_t now_us);
-static void change_(BH__Quarantine *q, BH__QuarantineEntry *e, BH__QuarantineEvent event, uint64_t now_us);
-static uint64_t life_us_(const BH__QuarantineEntry *e);
-static bool is_told_(const BH__QuarantineEntry *e);
+static void apply_event_(BH__Quarantine *q, BH__QuarantineEntry *e, BH__QuarantineEvent event,
+						 uint64_t now_us);
+static uint64_t get_lifetime_us_(const BH__QuarantineEntry *e);
+static bool is_notified_(const BH__QuarantineEntry *e);
 
 BH__Quarantine *bh__quarantine_new(void)
 {
@@ -89,14 +93,14 @@
 	return g_hash_table_lookup(q->entries, f);
 }
 
-/* Returns the entry of a request, a new one if there is none. */
-static BH__QuarantineEntry *add_(BH__Quarantine *q, const BH__Fingerprint *f, uint64_t now_us)
+/* Returns the entry of a request; creates it if there is none, which may evict another. */
+static BH__QuarantineEntry *find_or_add_(BH__Quarantine *q, const BH__Fingerprint *f, uint64_t now_us)
 {
 	BH__QuarantineEntry *e = find_(q, f);
 
 	if (e)
 		return e;
-	make_room_(q);
+	evict_oldest_(q);
 	e = g_new0(BH__QuarantineEntry, 1);
 	e->fingerprint = *f;
 	e->since_us = now_us;
@@ -104,15 +108,15 @@
 	return e;
 }
 
-/* Ages may be longer than this node's clock has run, so that a time is before another if the difference is
- * negative. */
+/* Returns true if entry `a` is older than `b`. An age may exceed the uptime of this node's clock, so that
+ * `since_us` may wrap around; the sign of the difference is right in that case too. */
 static bool is_older_(const BH__QuarantineEntry *a, const BH__QuarantineEntry *b)
 {
 	return (int64_t)(a->since_us - b->since_us) < 0;
 }
 
-/* Drops the oldest entry of a table that is full: one that is held only if all are. */
-static void make_room_(BH__Quarantine *q)
+/* Evicts the oldest entry if the table is full. Evicts a quarantined entry only if all entries are. */
+static void evict_oldest_(BH__Quarantine *q)
 {
 	BH__QuarantineEntry *oldest = NULL;
 	GHashTableIter it;
@@ -131,9 +135,9 @@
 	g_hash_table_remove(q->entries, &oldest->fingerprint);
 }
 
-/* Returns the weight of the evidence against a request so far. One that is held explains a crash for all
- * others. */
-static uint32_t weight_(const BH__Quarantine *q, const BH__Fingerprint *f)
+/* Returns the weight of the evidence against a request, in halves of a crash. The weight of a quarantined
+ * request is UINT32_MAX, so that a crash under it counts against no other request. */
+static uint32_t get_weight_(const BH__Quarantine *q, const BH__Fingerprint *f)
 {
 	const BH__QuarantineEntry *e = find_(q, f);
 
@@ -142,6 +146,7 @@
 	return e->state == BH__QUARANTINE_HELD ? UINT32_MAX : e->weight;
 }
 
+/* Adds the evidence of one crash to an entry; a cleared entry starts from zero. */
 static void add_evidence_(BH__QuarantineEntry *e, uint64_t endpoint_id, uint32_t weight, uint64_t now_us)
 {
 	if (e->state == BH__QUARANTINE_CLEARED) {
@@ -155,48 +160,52 @@
 		e->crash[e->crash_count++] = endpoint_id;
 }
 
-/* An endpoint has crashed under these requests; entries that changed are added to `changed`. Requests that
- * are heard of later come in further calls, with the `finding` of the first, which begins as zeros.
+/* Counts the crash of an endpoint against the requests that were under way on it, and appends the entries
+ * that changed to `changed`. Requests reported later are passed in further calls with the `finding` of the
+ * first call, which the caller initialises with zeros.
  *
- * Most of them are innocent, and several may meet again on the endpoint to which they were sent next. So a
- * crash counts against those only that no other explains, and three of them condemn the one request that had
- * the most evidence against it of all that were under way. One that shares the most with others is held a
- * crash later, unless it goes on without them. */
+ * Most of these requests are innocent, and several may meet again on the endpoint to which they are
+ * dispatched next. Therefore a crash counts only against requests for which no other request explains it (see
+ * EXPLAINED_LEAD_), and three crashes quarantine a request only if it alone had the most evidence of all
+ * under way. A request that shares the most evidence with others is quarantined one crash later, unless a
+ * crash without them comes first. */
 void bh__quarantine_process_crash(BH__Quarantine *q, uint64_t endpoint_id, const BH__CrashSuspect *suspect,
 								  unsigned count, BH__CrashFinding *finding, GArray *changed, uint64_t now_us)
 {
-	weigh_(q, suspect, count, finding);
+	find_max_weight_(q, suspect, count, finding);
 	for (unsigned i = 0; i < count; i++) {
 		const BH__CrashSuspect *s = &suspect[i];
-		uint32_t weight = weight_(q, &s->fingerprint);
-		bool is_alone = weight == finding->most && finding->sharing == 1;
-		uint32_t condemning = is_alone ? BH__CONDEMNING_WEIGHT : BH__CONDEMNING_WEIGHT_SHARED;
+		uint32_t weight = get_weight_(q, &s->fingerprint);
+		bool is_sole_max = weight == finding->max_weight && finding->max_weight_count == 1;
+		uint32_t threshold_weight = is_sole_max ? BH__CONDEMNING_WEIGHT : BH__CONDEMNING_WEIGHT_SHARED;
 		BH__QuarantineEntry *e;
-		if ((uint64_t)weight + EXPLAINED_LEAD_ < finding->most || is_counted_(q, s, endpoint_id, now_us))
+		if ((uint64_t)weight + EXPLAINED_LEAD_ < finding->max_weight ||
+			is_counted_(q, s, endpoint_id, now_us))
 			continue;
-		e = add_(q, &s->fingerprint, now_us);
+		e = find_or_add_(q, &s->fingerprint, now_us);
 		add_evidence_(e, endpoint_id, s->weight, now_us);
-		change_(q, e, e->weight >= condemning ? BH__QUARANTINE_CONDEMN : BH__QUARANTINE_CRASH, now_us);
+		apply_event_(q, e, e->weight >= threshold_weight ? BH__QUARANTINE_CONDEMN : BH__QUARANTINE_CRASH,
+					 now_us);
 		g_array_append_val(changed, *e);
 	}
 }
 
-/* Finds the most evidence against any of the suspects so far, and how many of them share it. */
-static void weigh_(const BH__Quarantine *q, const BH__CrashSuspect *suspect, unsigned count,
-				   BH__CrashFinding *finding)
+/* Updates `finding` with the highest prior weight of the suspects and the number of suspects that have it. */
+static void find_max_weight_(const BH__Quarantine *q, const BH__CrashSuspect *suspect, unsigned count,
+							 BH__CrashFinding *finding)
 {
 	for (unsigned i = 0; i < count; i++) {
-		uint32_t weight = weight_(q, &suspect[i].fingerprint);
-		if (weight > finding->most || !finding->sharing) {
-			finding->most = weight;
-			finding->sharing = 0;
+		uint32_t weight = get_weight_(q, &suspect[i].fingerprint);
+		if (weight > finding->max_weight || !finding->max_weight_count) {
+			finding->max_weight = weight;
+			finding->max_weight_count = 0;
 		}
-		finding->sharing += weight == finding->most;
+		finding->max_weight_count += weight == finding->max_weight;
 	}
 }
 
-/* Returns true if this very crash has been counted against a request, or need not be: one that is held was on
- * its way already. */
+/* Returns true if this crash has been counted against the request, or need not be because the request is
+ * quarantined: it was dispatched before that. */
 static bool is_counted_(const BH__Quarantine *q, const BH__CrashSuspect *s, uint64_t endpoint_id,
 						uint64_t now_us)
 {
@@ -212,12 +221,13 @@
 	return false;
 }
 
-/* Moves an entry on in its table of states. */
-static void change_(BH__Quarantine *q, BH__QuarantineEntry *e, BH__QuarantineEvent event, uint64_t now_us)
+/* Applies an event to an entry: sets the next state, increments the version and updates the counters. */
+static void apply_event_(BH__Quarantine *q, BH__QuarantineEntry *e, BH__QuarantineEvent event,
+						 uint64_t now_us)
 {
 	BH__QuarantineState old = e->state;
 
-	e->state = Next_[old][event];
+	e->state = Transitions_[old][event];
 	e->version++;
 	if (e->state == BH__QUARANTINE_HELD && old != BH__QUARANTINE_HELD) {
 		e->since_us = now_us;
@@ -230,19 +240,20 @@
 	}
 }
 
-/* Something other than a crash has happened to a request. Returns true if that changes its entry. */
+/* Applies an event other than a crash to a request. Returns true if the state of its entry changes. */
 bool bh__quarantine_process_event(BH__Quarantine *q, const BH__Fingerprint *f, BH__QuarantineEvent event,
 								  uint64_t now_us)
 {
 	BH__QuarantineEntry *e = find_(q, f);
 
-	if (!e || Next_[e->state][event] == e->state)
+	if (!e || Transitions_[e->state][event] == e->state)
 		return false;
-	change_(q, e, event, now_us);
+	apply_event_(q, e, event, now_us);
 	return true;
 }
 
-/* Takes another node's entry, in which `since_us` is by this node's clock. Returns true if it is news. */
+/* Merges the entry of another node; its `since_us` is by this node's clock. The higher version wins; of equal
+ * versions, the higher state. Returns false if the received entry does not win or has expired. */
 bool bh__quarantine_learn(BH__Quarantine *q, const BH__QuarantineEntry *entry, uint64_t now_us)
 {
 	BH__QuarantineEntry *e = find_(q, &entry->fingerprint);
@@ -250,24 +261,25 @@
 
 	if (e && (entry->version < e->version || (entry->version == e->version && entry->state <= e->state)))
 		return false;
-	if (now_us - entry->since_us >= life_us_(entry))
+	if (now_us - entry->since_us >= get_lifetime_us_(entry))
 		return false;
-	e = add_(q, &entry->fingerprint, now_us);
+	e = find_or_add_(q, &entry->fingerprint, now_us);
 	*e = *entry;
 	q->counters.held += e->state == BH__QUARANTINE_HELD && !was_held;
 	return true;
 }
 
-/* Returns for how long an entry stays as it is. */
-static uint64_t life_us_(const BH__QuarantineEntry *e)
+/* Returns the time in us from `since_us` until an entry's state expires. */
+static uint64_t get_lifetime_us_(const BH__QuarantineEntry *e)
 {
-	uint32_t doublings = MIN(e->times_held ? e->times_held - 1 : 0, HELD_DOUBLINGS_);
+	uint32_t doublings = MIN(e->times_held ? e->times_held - 1 : 0, QUARANTINE_DOUBLINGS_MAX_);
 
-	return e->state == BH__QUARANTINE_HELD || e->state == BH__QUARANTINE_PROBATION ? HELD_US_ << doublings
-																				   : SUSPECT_US_;
+	return e->state == BH__QUARANTINE_HELD || e->state == BH__QUARANTINE_PROBATION
+			   ? QUARANTINE_US_ << doublings
+			   : SUSPECT_LIFETIME_US_;
 }
 
-/* Ends what has lasted for its time. */
+/* Expires entries: removes them, or puts them on probation after a quarantine. */
 void bh__quarantine_process_tick(BH__Quarantine *q, uint64_t now_us)
 {
 	GHashTableIter it;
@@ -276,49 +288,50 @@
 	g_hash_table_iter_init(&it, q->entries);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		BH__QuarantineEntry *e = value;
-		if (now_us - e->since_us < life_us_(e))
+		if (now_us - e->since_us < get_lifetime_us_(e))
 			continue;
-		if (Next_[e->state][BH__QUARANTINE_EXPIRE] == NO_STATE_) {
+		if (Transitions_[e->state][BH__QUARANTINE_EXPIRE] == REMOVE_ENTRY_) {
 			g_hash_table_iter_remove(&it);
 			continue;
 		}
-		change_(q, e, BH__QUARANTINE_EXPIRE, now_us);
+		apply_event_(q, e, BH__QUARANTINE_EXPIRE, now_us);
 		e->since_us = now_us;
 		e->weight = BH__CONDEMNING_WEIGHT - BH__CRASH_WEIGHT;
 	}
 }
 
-/* Returns for how much longer a request is held; 0: it is not. */
+/* Returns the time in us that is left of a request's quarantine; 0: not quarantined. */
 uint64_t bh__quarantine_get_held_us(BH__Quarantine *q, const BH__Fingerprint *f, uint64_t now_us)
 {
 	const BH__QuarantineEntry *e = find_(q, f);
-	uint64_t passed_us;
+	uint64_t elapsed_us;
 
 	if (!e || e->state != BH__QUARANTINE_HELD)
 		return 0;
-	passed_us = now_us - e->since_us;
-	return passed_us < life_us_(e) ? life_us_(e) - passed_us : 0;
+	elapsed_us = now_us - e->since_us;
+	return elapsed_us < get_lifetime_us_(e) ? get_lifetime_us_(e) - elapsed_us : 0;
 }
 
+/* Counts a request that was refused because it is quarantined. */
 void bh__quarantine_note_refusal(BH__Quarantine *q)
 {
 	q->counters.refusals++;
 }
 
-/* Returns the entry of a request, or NULL. */
+/* Returns the entry of a request, or NULL if there is none. */
 const BH__QuarantineEntry *bh__quarantine_find(const BH__Quarantine *q, const BH__Fingerprint *f)
 {
 	return find_(q, f);
 }
 
-/* Returns true if other nodes are told of an entry. */
-static bool is_told_(const BH__QuarantineEntry *e)
+/* Returns true if the other nodes are notified of an entry. */
+static bool is_notified_(const BH__QuarantineEntry *e)
 {
 	return e->weight >= BH__TOLD_WEIGHT;
 }
 
-/* Adds all entries (BH__QuarantineEntry) to `out`, or only those that other nodes are told of. */
-void bh__quarantine_list(const BH__Quarantine *q, bool only_told, GArray *out)
+/* Appends all entries (BH__QuarantineEntry) to `out`, or only those of which other nodes are notified. */
+void bh__quarantine_list(const BH__Quarantine *q, bool only_notified, GArray *out)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -326,12 +339,12 @@
 	g_hash_table_iter_init(&it, q->entries);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const BH__QuarantineEntry *e = value;
-		if (!only_told || is_told_(e))
+		if (!only_notified || is_notified_(e))
 			g_array_append_val(out, *e);
 	}
 }
 
-/* Returns a hash of what all nodes are to know alike; 0 of nothing. */
+/* Returns a hash of the entries that all nodes share; 0 if there are none. */
 uint64_t bh__quarantine_get_hash(const BH__Quarantine *q)
 {
 	uint64_t hash = 0;
@@ -341,7 +354,7 @@
 	g_hash_table_iter_init(&it, q->entries);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const BH__QuarantineEntry *e = value;
-		if (is_told_(e))
+		if (is_notified_(e))
 			hash ^= bh__hash_pair(bh__hash_pair(e->fingerprint.high, e->fingerprint.low),
 								  (uint64_t)e->version << 2 | e->state);
 	}
--- a/src/test_libbayhoist/test_crash_watch.c
+++ b/src/test_libbayhoist/test_crash_watch.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* A whole fleet that learns of requests which crash endpoints, on virtual time: 300 nodes, messages that take
- * a millisecond, and what happens when the node that judges dies, a node is cut off, or one starts. */
+/* Tests crash detection in a simulated cluster on virtual time: 300 nodes and a message delay of 1 ms. The
+ * tests cover the failure of the evaluating node, a partitioned node, and a node that starts. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -17,14 +17,14 @@
 #define MS BH__MS_US
 
 typedef struct {
-	BH__CrashPort port; /* first */
+	BH__CrashPort port; /* first member: the callbacks cast it to Node */
 	struct Fleet *fleet;
 	unsigned index;
 	BH__Members *members;
 	BH__CrashWatch *watch;
-	bool is_gone;
-	bool is_cut_off;
-	GArray *looks; /* uint64_t, endpoints that it was to look at */
+	bool is_down;
+	bool is_partitioned;
+	GArray *pending_probes; /* uint64_t, ids of endpoints to probe */
 } Node;
 
 typedef struct {
@@ -36,12 +36,13 @@
 
 typedef struct Fleet {
 	Node node[NODES];
-	GQueue in_flight; /* InFlight, in order of time, since all take as long */
+	GQueue in_flight; /* InFlight, ordered by time because all have the same delay */
 	uint64_t now_us;
 	uint64_t sent;
-	bool leaves; /* endpoints are leaving */
+	bool endpoints_are_leaving;
 } Fleet;
 
+/* Returns the id of the node with this index. */
 static uint64_t id_(unsigned index)
 {
 	return bh__hash_pair(index + 1, 3);
@@ -63,42 +64,43 @@
 		f->message.as.quarantine.entry = f->entry;
 	}
 	n->fleet->sent++;
-	if (n->is_cut_off || n->fleet->node[f->to].is_cut_off || n->fleet->node[f->to].is_gone)
+	if (n->is_partitioned || n->fleet->node[f->to].is_partitioned || n->fleet->node[f->to].is_down)
 		g_free(f);
 	else
 		g_queue_push_tail(&n->fleet->in_flight, f);
 }
 
-static bool on_find_endpoint_(BH__CrashPort *port, uint64_t endpoint_id, uint64_t *born_ms)
+static bool on_find_endpoint_(BH__CrashPort *port, uint64_t endpoint_id, uint64_t *started_ms)
 {
 	(void)endpoint_id;
-	*born_ms = 1;
-	return !((Node *)port)->fleet->leaves;
+	*started_ms = 1;
+	return !((Node *)port)->fleet->endpoints_are_leaving;
 }
 
-static void on_look_(BH__CrashPort *port, uint64_t endpoint_id)
+static void on_probe_(BH__CrashPort *port, uint64_t endpoint_id)
 {
-	g_array_append_val(((Node *)port)->looks, endpoint_id);
+	g_array_append_val(((Node *)port)->pending_probes, endpoint_id);
 }
 
-static void on_changed_(BH__CrashPort *port, const BH__QuarantineEntry *e, bool judged)
+static void on_changed_(BH__CrashPort *port, const BH__QuarantineEntry *e, bool evaluated)
 {
 	(void)port;
 	(void)e;
-	(void)judged;
+	(void)evaluated;
 }
 
-static void begin_node_(Fleet *f, unsigned index)
+/* Starts a node whose member list contains all others as alive. */
+static void start_node_(Fleet *f, unsigned index)
 {
 	Node *n = &f->node[index];
 	BH__MemberInfo info = {.boot_id = 1, .state = BH__MEMBER_ALIVE, .capacity = 100};
 
 	n->port = (BH__CrashPort){
-		.send = on_send_, .find_endpoint = on_find_endpoint_, .look = on_look_, .changed = on_changed_};
+		.send = on_send_, .find_endpoint = on_find_endpoint_, .look = on_probe_, .changed = on_changed_};
 	n->fleet = f;
 	n->index = index;
-	n->looks = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	for (unsigned i = 0; i <= NODES; i++) { /* itself first */
+	n->pending_probes = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	for (unsigned i = 0; i <= NODES; i++) { /* the node itself comes first */
 		unsigned k = i == 0 ? index : i - 1;
 		info.node_id = id_(k);
 		g_snprintf(info.name, sizeof info.name, "vm%u", k);
@@ -111,11 +113,11 @@
 	n->watch = bh__crash_watch_new(&n->port, n->members);
 }
 
-static void end_node_(Node *n)
+static void stop_node_(Node *n)
 {
 	bh__crash_watch_delete(n->watch);
 	bh__members_delete(n->members);
-	g_array_unref(n->looks);
+	g_array_unref(n->pending_probes);
 }
 
 static int setup_(void **state)
@@ -125,7 +127,7 @@
 	f->now_us = 100 * BH__SECOND_US;
 	g_queue_init(&f->in_flight);
 	for (unsigned i = 0; i < NODES; i++)
-		begin_node_(f, i);
+		start_node_(f, i);
 	*state = f;
 	return 0;
 }
@@ -135,24 +137,24 @@
 	Fleet *f = *state;
 
 	for (unsigned i = 0; i < NODES; i++)
-		end_node_(&f->node[i]);
+		stop_node_(&f->node[i]);
 	g_queue_clear_full(&f->in_flight, g_free);
 	g_free(f);
 	return 0;
 }
 
-/* Endpoints that are looked at have crashed. */
-static void look_(Fleet *f, Node *n)
+/* Answers every pending probe of a node with a confirmed crash. */
+static void complete_probes_(Fleet *f, Node *n)
 {
-	while (n->looks->len) {
-		uint64_t endpoint_id = g_array_index(n->looks, uint64_t, 0);
-		g_array_remove_index(n->looks, 0);
+	while (n->pending_probes->len) {
+		uint64_t endpoint_id = g_array_index(n->pending_probes, uint64_t, 0);
+		g_array_remove_index(n->pending_probes, 0);
 		bh__crash_watch_process_proof(n->watch, endpoint_id, BH__CRASH_PROVEN, f->now_us);
 	}
 }
 
-/* Lets time pass, a millisecond a step; every node ticks each 100 ms, and when it is due. */
-static void pass_(Fleet *f, unsigned ms)
+/* Advances the time in steps of 1 ms. Every node ticks each 100 ms, and when it is due. */
+static void advance_(Fleet *f, unsigned ms)
 {
 	for (unsigned i = 0; i < ms; i++) {
 		InFlight *m;
@@ -160,47 +162,50 @@
 		while ((m = g_queue_peek_head(&f->in_flight)) && m->at_us <= f->now_us) {
 			Node *to = &f->node[m->to];
 			g_queue_pop_head(&f->in_flight);
-			if (!to->is_gone)
+			if (!to->is_down)
 				bh__crash_watch_process_message(to->watch, &m->message, f->now_us);
 			g_free(m);
 		}
 		for (unsigned k = 0; k < NODES; k++) {
 			Node *n = &f->node[k];
-			if (n->is_gone)
+			if (n->is_down)
 				continue;
-			look_(f, n);
+			complete_probes_(f, n);
 			if ((f->now_us / MS + k) % 100 == 0 || bh__crash_watch_get_due_us(n->watch) <= f->now_us)
 				bh__crash_watch_process_tick(n->watch, f->now_us);
 		}
 	}
 }
 
+/* Returns the fingerprint of request number `n`. */
 static BH__Fingerprint request_(uint64_t n)
 {
 	return (BH__Fingerprint){.high = n, .low = bh__hash_pair(n, n)};
 }
 
-static void break_off_(Fleet *f, unsigned node, uint64_t endpoint, uint64_t request)
+/* Reports on node `node` that an endpoint aborted a request. */
+static void report_abort_(Fleet *f, unsigned node, uint64_t endpoint, uint64_t request)
 {
 	BH__Fingerprint r = request_(request);
 
 	bh__crash_watch_note_broken(f->node[node].watch, SERVICE, endpoint, &r, false, f->now_us);
 }
 
-/* Returns how many nodes hold a request. */
-static unsigned holders_(const Fleet *f, uint64_t request)
+/* Returns the number of nodes that have quarantined a request. */
+static unsigned count_quarantining_nodes_(const Fleet *f, uint64_t request)
 {
 	BH__Fingerprint r = request_(request);
 	unsigned count = 0;
 
 	for (unsigned i = 0; i < NODES; i++)
 		count +=
-			!f->node[i].is_gone &&
+			!f->node[i].is_down &&
 			bh__quarantine_get_held_us(bh__crash_watch_get_quarantine(f->node[i].watch), &r, f->now_us) > 0;
 	return count;
 }
 
-static unsigned judge_(const Fleet *f, unsigned seen_by)
+/* Returns the index of the evaluating node, in the view of node `seen_by`. */
+static unsigned get_evaluator_(const Fleet *f, unsigned seen_by)
 {
 	uint64_t id = bh__members_pick(f->node[seen_by].members, SERVICE, NULL);
 	unsigned index = 0;
@@ -210,8 +215,8 @@
 	return index;
 }
 
-/* A node sees another's probe. */
-static void probe_(Fleet *f, unsigned from, unsigned to)
+/* Delivers a ping of node `from` to node `to`. */
+static void ping_(Fleet *f, unsigned from, unsigned to)
 {
 	BH__Message m = {.type = BH__MESSAGE_PING, .from_node = id_(from)};
 
@@ -223,61 +228,62 @@
 {
 	Fleet *f = *state;
 
-	pass_(f, 1000);
-	assert_int_equal(f->sent, 0); /* at rest nothing is said */
+	advance_(f, 1000);
+	assert_int_equal(f->sent, 0); /* no messages while no endpoint aborts a request */
 	for (unsigned copy = 0; copy < 3; copy++) {
-		break_off_(f, 10 * copy, 500 + copy, 1);
+		report_abort_(f, 10 * copy, 500 + copy, 1);
 		for (unsigned k = 0; k < 11; k++)
-			break_off_(f, 20 * k + copy, 500 + copy, 100 * (copy + 1) + k);
+			report_abort_(f, 20 * k + copy, 500 + copy, 100 * (copy + 1) + k);
 	}
-	pass_(f, 100);
-	assert_int_equal(holders_(f, 1), NODES);
+	advance_(f, 100);
+	assert_int_equal(count_quarantining_nodes_(f, 1), NODES);
 	for (uint64_t innocent = 100; innocent < 311; innocent++)
-		assert_int_equal(holders_(f, innocent), 0);
-	assert_in_range(f->sent, NODES, 36 + 2 * NODES); /* reports; the second crash, the third */
+		assert_int_equal(count_quarantining_nodes_(f, innocent), 0);
+	/* 36 reports, and notifications of all nodes after the second and the third crash */
+	assert_in_range(f->sent, NODES, 36 + 2 * NODES);
 }
 
 static void what_was_reported_is_told_to_the_next_judge_(void **state)
 {
 	Fleet *f = *state;
-	unsigned judge = judge_(f, 0);
-	unsigned node = judge == 5 ? 6 : 5;
-
-	break_off_(f, node, 501, 1);
-	break_off_(f, node, 502, 1);
-	pass_(f, 100);
-	f->node[judge].is_gone = true; /* and nobody knows yet */
-	break_off_(f, node, 503, 1);
-	pass_(f, 500);
-	assert_int_equal(holders_(f, 1), 0);
+	unsigned evaluator = get_evaluator_(f, 0);
+	unsigned node = evaluator == 5 ? 6 : 5;
+
+	report_abort_(f, node, 501, 1);
+	report_abort_(f, node, 502, 1);
+	advance_(f, 100);
+	f->node[evaluator].is_down = true; /* no node has detected that yet */
+	report_abort_(f, node, 503, 1);
+	advance_(f, 500);
+	assert_int_equal(count_quarantining_nodes_(f, 1), 0);
 	for (unsigned i = 0; i < NODES; i++)
-		bh__members_process_unreachable(f->node[i].members, id_(judge), f->now_us);
-	assert_int_not_equal(judge_(f, node), judge);
-	pass_(f, 300);
-	assert_int_equal(holders_(f, 1), NODES - 1);
+		bh__members_process_unreachable(f->node[i].members, id_(evaluator), f->now_us);
+	assert_int_not_equal(get_evaluator_(f, node), evaluator);
+	advance_(f, 300);
+	assert_int_equal(count_quarantining_nodes_(f, 1), NODES - 1);
 }
 
 static void a_node_that_missed_it_is_told_after_a_probe_(void **state)
 {
 	Fleet *f = *state;
-	unsigned judge = judge_(f, 0);
-	unsigned cut = (judge + 1) % NODES;
-	unsigned other = (judge + 2) % NODES;
+	unsigned evaluator = get_evaluator_(f, 0);
+	unsigned partitioned = (evaluator + 1) % NODES;
+	unsigned other = (evaluator + 2) % NODES;
 
-	f->node[cut].is_cut_off = true;
+	f->node[partitioned].is_partitioned = true;
 	for (unsigned i = 0; i < 3; i++)
-		break_off_(f, other, 500 + i, 1);
-	pass_(f, 100);
-	assert_int_equal(holders_(f, 1), NODES - 1);
-	f->node[cut].is_cut_off = false;
+		report_abort_(f, other, 500 + i, 1);
+	advance_(f, 100);
+	assert_int_equal(count_quarantining_nodes_(f, 1), NODES - 1);
+	f->node[partitioned].is_partitioned = false;
 	f->sent = 0;
-	probe_(f, cut, other);
-	pass_(f, 2);
-	assert_int_equal(holders_(f, 1), NODES);
+	ping_(f, partitioned, other);
+	advance_(f, 2);
+	assert_int_equal(count_quarantining_nodes_(f, 1), NODES);
 	assert_int_equal(f->sent, 1);
-	probe_(f, cut, other);
-	pass_(f, 2);
-	assert_int_equal(f->sent, 1); /* they agree */
+	ping_(f, partitioned, other);
+	advance_(f, 2);
+	assert_int_equal(f->sent, 1); /* their hashes are equal */
 }
 
 static void a_node_that_starts_is_told_after_a_probe_(void **state)
@@ -285,14 +291,14 @@
 	Fleet *f = *state;
 
 	for (unsigned i = 0; i < 3; i++)
-		break_off_(f, 3, 500 + i, 1);
-	pass_(f, 100);
-	end_node_(&f->node[8]);
-	begin_node_(f, 8);
-	assert_int_equal(holders_(f, 1), NODES - 1);
-	probe_(f, 8, 9);
-	pass_(f, 2);
-	assert_int_equal(holders_(f, 1), NODES);
+		report_abort_(f, 3, 500 + i, 1);
+	advance_(f, 100);
+	stop_node_(&f->node[8]);
+	start_node_(f, 8);
+	assert_int_equal(count_quarantining_nodes_(f, 1), NODES - 1);
+	ping_(f, 8, 9);
+	advance_(f, 2);
+	assert_int_equal(count_quarantining_nodes_(f, 1), NODES);
 }
 
 static void an_operators_word_reaches_all_(void **state)
@@ -301,14 +307,14 @@
 	BH__Fingerprint r = request_(1);
 
 	for (unsigned i = 0; i < 3; i++)
-		break_off_(f, 3, 500 + i, 1);
-	pass_(f, 100);
+		report_abort_(f, 3, 500 + i, 1);
+	advance_(f, 100);
 	assert_true(bh__crash_watch_release(f->node[200].watch, &r, f->now_us));
-	pass_(f, 2);
-	assert_int_equal(holders_(f, 1), 0);
-	probe_(f, 4, 9);
-	pass_(f, 2);
-	assert_int_equal(holders_(f, 1), 0);
+	advance_(f, 2);
+	assert_int_equal(count_quarantining_nodes_(f, 1), 0);
+	ping_(f, 4, 9);
+	advance_(f, 2);
+	assert_int_equal(count_quarantining_nodes_(f, 1), 0);
 }
 
 static void a_request_that_is_served_is_cleared_on_all_(void **state)
@@ -317,27 +323,27 @@
 	BH__Fingerprint r = request_(1);
 
 	for (unsigned i = 0; i < 2; i++)
-		break_off_(f, 3, 500 + i, 1);
-	pass_(f, 100);
+		report_abort_(f, 3, 500 + i, 1);
+	advance_(f, 100);
 	assert_true(bh__crash_watch_is_suspected(f->node[40].watch, &r));
 	bh__crash_watch_note_served(f->node[40].watch, SERVICE, &r, false, f->now_us);
-	pass_(f, 5);
+	advance_(f, 5);
 	for (unsigned i = 0; i < NODES; i++)
 		assert_false(bh__crash_watch_is_suspected(f->node[i].watch, &r));
-	break_off_(f, 3, 600, 1);
-	pass_(f, 100);
-	assert_int_equal(holders_(f, 1), 0);
+	report_abort_(f, 3, 600, 1);
+	advance_(f, 100);
+	assert_int_equal(count_quarantining_nodes_(f, 1), 0);
 }
 
 static void what_leaving_endpoints_break_off_is_no_evidence_(void **state)
 {
 	Fleet *f = *state;
 
-	f->leaves = true;
+	f->endpoints_are_leaving = true;
 	for (unsigned i = 0; i < 6; i++)
-		break_off_(f, i, 500 + i, 1);
-	pass_(f, 200);
-	assert_int_equal(holders_(f, 1), 0);
+		report_abort_(f, i, 500 + i, 1);
+	advance_(f, 200);
+	assert_int_equal(count_quarantining_nodes_(f, 1), 0);
 }
 
 #define TEST(name) cmocka_unit_test_setup_teardown(name, setup_, teardown_)
