--- a/src/test_libbayhoist/test_crash_watch.c
+++ b/src/test_libbayhoist/test_crash_watch.c
@@ -224,7 +224,7 @@
 	assert_false(bh__crash_watch_process_message(f->node[to].watch, &m, f->now_us));
 }
 
-static void all_nodes_hold_it_within_a_tenth_of_a_second_(void **state)
+static void all_nodes_quarantine_a_request_within_100_ms_(void **state)
 {
 	Fleet *f = *state;
 
@@ -243,7 +243,7 @@
 	assert_in_range(f->sent, NODES, 36 + 2 * NODES);
 }
 
-static void what_was_reported_is_told_to_the_next_judge_(void **state)
+static void reports_are_sent_again_to_the_next_evaluator_(void **state)
 {
 	Fleet *f = *state;
 	unsigned evaluator = get_evaluator_(f, 0);
@@ -263,7 +263,7 @@
 	assert_int_equal(count_quarantining_nodes_(f, 1), NODES - 1);
 }
 
-static void a_node_that_missed_it_is_told_after_a_probe_(void **state)
+static void node_that_missed_an_update_receives_it_after_a_ping_(void **state)
 {
 	Fleet *f = *state;
 	unsigned evaluator = get_evaluator_(f, 0);
@@ -286,7 +286,7 @@
 	assert_int_equal(f->sent, 1); /* their hashes are equal */
 }
 
-static void a_node_that_starts_is_told_after_a_probe_(void **state)
+static void starting_node_receives_entries_after_a_ping_(void **state)
 {
 	Fleet *f = *state;
 
@@ -301,7 +301,7 @@
 	assert_int_equal(count_quarantining_nodes_(f, 1), NODES);
 }
 
-static void an_operators_word_reaches_all_(void **state)
+static void operator_release_reaches_all_nodes_(void **state)
 {
 	Fleet *f = *state;
 	BH__Fingerprint r = request_(1);
@@ -317,7 +317,7 @@
 	assert_int_equal(count_quarantining_nodes_(f, 1), 0);
 }
 
-static void a_request_that_is_served_is_cleared_on_all_(void **state)
+static void served_request_is_cleared_on_all_nodes_(void **state)
 {
 	Fleet *f = *state;
 	BH__Fingerprint r = request_(1);
@@ -335,7 +335,7 @@
 	assert_int_equal(count_quarantining_nodes_(f, 1), 0);
 }
 
-static void what_leaving_endpoints_break_off_is_no_evidence_(void **state)
+static void abort_by_a_leaving_endpoint_is_no_evidence_(void **state)
 {
 	Fleet *f = *state;
 
@@ -351,13 +351,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		TEST(all_nodes_hold_it_within_a_tenth_of_a_second_),
-		TEST(what_was_reported_is_told_to_the_next_judge_),
-		TEST(a_node_that_missed_it_is_told_after_a_probe_),
-		TEST(a_node_that_starts_is_told_after_a_probe_),
-		TEST(an_operators_word_reaches_all_),
-		TEST(a_request_that_is_served_is_cleared_on_all_),
-		TEST(what_leaving_endpoints_break_off_is_no_evidence_),
+		TEST(all_nodes_quarantine_a_request_within_100_ms_),
+		TEST(reports_are_sent_again_to_the_next_evaluator_),
+		TEST(node_that_missed_an_update_receives_it_after_a_ping_),
+		TEST(starting_node_receives_entries_after_a_ping_),
+		TEST(operator_release_reaches_all_nodes_),
+		TEST(served_request_is_cleared_on_all_nodes_),
+		TEST(abort_by_a_leaving_endpoint_is_no_evidence_),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/test_libbayhoist/test_quarantine.c
+++ b/src/test_libbayhoist/test_quarantine.c
@@ -103,7 +103,7 @@
 	bh__quarantine_process_event(fixture->quarantine, &f, event, fixture->now_us);
 }
 
-static void a_request_is_held_after_three_crashes_(void **state)
+static void request_is_quarantined_after_three_crashes_(void **state)
 {
 	Fixture *fixture = *state;
 
@@ -119,7 +119,7 @@
 /* Guards against quarantining innocent requests that are dispatched again to the same engines as the crashing
  * one. With two crashing requests, 34 others were under way in three crashes or more within 28 s; with each
  * crash counted against all, all of them would have been quarantined. */
-static void requests_that_follow_it_to_the_next_engine_are_not_held_(void **state)
+static void innocent_requests_on_the_same_engines_are_not_quarantined_(void **state)
 {
 	Fixture *fixture = *state;
 
@@ -135,7 +135,7 @@
 	assert_false(is_held_(fixture, 12));
 }
 
-static void copies_that_crash_three_at_once_are_held_(void **state)
+static void copies_that_crash_three_endpoints_at_once_are_quarantined_(void **state)
 {
 	Fixture *fixture = *state;
 
@@ -153,7 +153,7 @@
 			assert_false(is_held_(fixture, 100 * endpoint + n));
 }
 
-static void the_death_of_half_of_all_endpoints_condemns_nobody_(void **state)
+static void crash_of_half_of_all_endpoints_quarantines_no_request_(void **state)
 {
 	Fixture *fixture = *state;
 
@@ -171,7 +171,7 @@
 	assert_int_equal(bh__quarantine_get_counters(fixture->quarantine)->held, 0);
 }
 
-static void what_breaks_off_and_lives_is_no_evidence_(void **state)
+static void abort_without_a_crash_is_no_evidence_(void **state)
 {
 	static const BH__CrashProof Proofs[] = {BH__CRASH_UNKNOWN, BH__CRASH_DENIED};
 	Fixture *fixture = *state;
@@ -185,7 +185,7 @@
 	assert_int_equal(bh__quarantine_get_counters(fixture->quarantine)->held, 0);
 }
 
-static void an_endpoint_that_says_it_has_started_since_has_crashed_(void **state)
+static void later_start_of_an_endpoint_confirms_a_crash_(void **state)
 {
 	Fixture *fixture = *state;
 
@@ -206,7 +206,7 @@
 	assert_true(is_held_(fixture, CULPRIT));
 }
 
-static void an_old_break_is_not_counted_with_a_later_crash_(void **state)
+static void earlier_abort_is_not_counted_with_a_later_crash_(void **state)
 {
 	Fixture *fixture = *state;
 
@@ -223,7 +223,7 @@
 									&(BH__Fingerprint){.high = 11, .low = bh__hash_pair(11, 11)}));
 }
 
-static void a_report_that_comes_late_counts_as_well_(void **state)
+static void late_report_counts_(void **state)
 {
 	Fixture *fixture = *state;
 
@@ -239,7 +239,7 @@
 	assert_false(is_held_(fixture, 11));
 }
 
-static void a_request_that_is_served_is_innocent_(void **state)
+static void served_request_is_cleared_(void **state)
 {
 	Fixture *fixture = *state;
 
@@ -252,7 +252,7 @@
 	assert_int_equal(bh__quarantine_get_counters(fixture->quarantine)->cleared, 4);
 }
 
-static void a_request_is_tried_again_after_its_time_(void **state)
+static void expired_quarantine_becomes_probation_(void **state)
 {
 	Fixture *fixture = *state;
 	BH__Fingerprint f = request_(CULPRIT);
@@ -276,7 +276,7 @@
 	assert_null(bh__quarantine_find(fixture->quarantine, &f));
 }
 
-static void nodes_agree_on_the_latest_entry_(void **state)
+static void nodes_converge_on_the_latest_entry_(void **state)
 {
 	Fixture *fixture = *state;
 	BH__Quarantine *other = bh__quarantine_new();
@@ -300,7 +300,7 @@
 	bh__quarantine_delete(other);
 }
 
-static void the_table_is_bounded_and_keeps_what_is_held_(void **state)
+static void table_is_bounded_and_keeps_quarantined_entries_(void **state)
 {
 	Fixture *fixture = *state;
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
@@ -319,7 +319,7 @@
 	g_array_unref(all);
 }
 
-static void only_the_same_account_path_and_body_are_the_same_(void **state)
+static void fingerprint_depends_on_account_method_and_body_(void **state)
 {
 	static const uint8_t Body[] = "body";
 	BH__FingerprintSource source = {
@@ -353,19 +353,19 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		TEST(a_request_is_held_after_three_crashes_),
-		TEST(requests_that_follow_it_to_the_next_engine_are_not_held_),
-		TEST(copies_that_crash_three_at_once_are_held_),
-		TEST(the_death_of_half_of_all_endpoints_condemns_nobody_),
-		TEST(what_breaks_off_and_lives_is_no_evidence_),
-		TEST(an_endpoint_that_says_it_has_started_since_has_crashed_),
-		TEST(an_old_break_is_not_counted_with_a_later_crash_),
-		TEST(a_report_that_comes_late_counts_as_well_),
-		TEST(a_request_that_is_served_is_innocent_),
-		TEST(a_request_is_tried_again_after_its_time_),
-		TEST(nodes_agree_on_the_latest_entry_),
-		TEST(the_table_is_bounded_and_keeps_what_is_held_),
-		TEST(only_the_same_account_path_and_body_are_the_same_),
+		TEST(request_is_quarantined_after_three_crashes_),
+		TEST(innocent_requests_on_the_same_engines_are_not_quarantined_),
+		TEST(copies_that_crash_three_endpoints_at_once_are_quarantined_),
+		TEST(crash_of_half_of_all_endpoints_quarantines_no_request_),
+		TEST(abort_without_a_crash_is_no_evidence_),
+		TEST(later_start_of_an_endpoint_confirms_a_crash_),
+		TEST(earlier_abort_is_not_counted_with_a_later_crash_),
+		TEST(late_report_counts_),
+		TEST(served_request_is_cleared_),
+		TEST(expired_quarantine_becomes_probation_),
+		TEST(nodes_converge_on_the_latest_entry_),
+		TEST(table_is_bounded_and_keeps_quarantined_entries_),
+		TEST(fingerprint_depends_on_account_method_and_body_),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
