--- a/include/bayhoist/crash_reports.h
+++ b/include/bayhoist/crash_reports.h
@@ -8,12 +8,12 @@
 
 /* Result of the liveness probe of an endpoint that aborted a request. */
 typedef enum {
-	BH__CRASH_UNKNOWN, /* no result, or unresponsive, which may be a network partition */
-	BH__CRASH_DENIED,  /* the endpoint accepts connections */
-	BH__CRASH_PROVEN   /* its address refuses connections, or the endpoint reports a later start */
-} BH__CrashProof;
+	BH__CRASH_UNKNOWN,   /* no result, or unresponsive, which may be a network partition */
+	BH__CRASH_DISPROVEN, /* the endpoint accepts connections */
+	BH__CRASH_CONFIRMED  /* its address refuses connections, or the endpoint reports a later start */
+} BH__CrashEvidence;
 
-extern const char *const BH__CrashProofString[];
+extern const char *const BH__CrashEvidenceString[];
 
 typedef struct BH__CrashReports BH__CrashReports;
 
@@ -21,9 +21,10 @@
 void bh__crash_reports_delete(BH__CrashReports *r);
 bool bh__crash_reports_process(BH__CrashReports *r, uint64_t endpoint_id, uint64_t started_ms,
 							   const BH__CrashSuspect *suspect, uint64_t now_us);
-void bh__crash_reports_process_proof(BH__CrashReports *r, uint64_t endpoint_id, BH__CrashProof proof);
+void bh__crash_reports_process_evidence(BH__CrashReports *r, uint64_t endpoint_id,
+										BH__CrashEvidence evidence);
 void bh__crash_reports_process_start(BH__CrashReports *r, uint64_t endpoint_id, uint64_t started_ms);
-bool bh__crash_reports_judge(BH__CrashReports *r, BH__Quarantine *q, GArray *changed, uint64_t now_us);
+bool bh__crash_reports_evaluate(BH__CrashReports *r, BH__Quarantine *q, GArray *changed, uint64_t now_us);
 uint64_t bh__crash_reports_get_due_us(const BH__CrashReports *r);
 
 #endif
--- a/include/bayhoist/crash_watch.h
+++ b/include/bayhoist/crash_watch.h
@@ -17,8 +17,8 @@
 	/* Stores the endpoint's start time in ms (0: unknown). Returns false if the endpoint is unknown, or is
 	 * leaving: a leaving endpoint may abort requests without a crash. */
 	bool (*find_endpoint)(struct BH__CrashPort *port, uint64_t endpoint_id, uint64_t *started_ms);
-	/* Starts a liveness probe of an endpoint; bh__crash_watch_process_proof() takes the result. */
-	void (*look)(struct BH__CrashPort *port, uint64_t endpoint_id);
+	/* Starts a liveness probe of an endpoint; bh__crash_watch_process_evidence() takes the result. */
+	void (*probe)(struct BH__CrashPort *port, uint64_t endpoint_id);
 	/* Called when the entry of a request with evidence of two crashes or more has changed. `evaluated`: the
 	 * change was made by this node rather than merged from another. */
 	void (*changed)(struct BH__CrashPort *port, const BH__QuarantineEntry *entry, bool evaluated);
@@ -28,21 +28,21 @@
 
 BH__CrashWatch *bh__crash_watch_new(BH__CrashPort *port, BH__Members *members);
 void bh__crash_watch_delete(BH__CrashWatch *w);
-void bh__crash_watch_note_broken(BH__CrashWatch *w, uint64_t service_id, uint64_t endpoint_id,
-								 const BH__Fingerprint *f, bool for_helper, uint64_t now_us);
+void bh__crash_watch_note_aborted(BH__CrashWatch *w, uint64_t service_id, uint64_t endpoint_id,
+								  const BH__Fingerprint *f, bool for_helper, uint64_t now_us);
 void bh__crash_watch_note_served(BH__CrashWatch *w, uint64_t service_id, const BH__Fingerprint *f,
-								 bool was_broken, uint64_t now_us);
+								 bool was_aborted, uint64_t now_us);
 bool bh__crash_watch_process_message(BH__CrashWatch *w, const BH__Message *m, uint64_t now_us);
-void bh__crash_watch_process_proof(BH__CrashWatch *w, uint64_t endpoint_id, BH__CrashProof proof,
-								   uint64_t now_us);
+void bh__crash_watch_process_evidence(BH__CrashWatch *w, uint64_t endpoint_id, BH__CrashEvidence evidence,
+									  uint64_t now_us);
 void bh__crash_watch_process_start(BH__CrashWatch *w, uint64_t endpoint_id, uint64_t started_ms,
 								   uint64_t now_us);
 void bh__crash_watch_process_tick(BH__CrashWatch *w, uint64_t now_us);
 uint64_t bh__crash_watch_get_due_us(const BH__CrashWatch *w);
-void bh__crash_watch_learn(BH__CrashWatch *w, const BH__QuarantineEntry *aged, uint64_t now_us);
+void bh__crash_watch_merge(BH__CrashWatch *w, const BH__QuarantineEntry *aged, uint64_t now_us);
 bool bh__crash_watch_release(BH__CrashWatch *w, const BH__Fingerprint *f, uint64_t now_us);
 bool bh__crash_watch_is_suspected(const BH__CrashWatch *w, const BH__Fingerprint *f);
 BH__Quarantine *bh__crash_watch_get_quarantine(const BH__CrashWatch *w);
-uint64_t bh__crash_watch_get_judged(const BH__CrashWatch *w);
+uint64_t bh__crash_watch_get_evaluated(const BH__CrashWatch *w);
 
 #endif
--- a/include/bayhoist/node.h
+++ b/include/bayhoist/node.h
@@ -158,7 +158,7 @@
 void bh__node_process_message(BH__Node *n, const BH__Message *m, uint64_t now_us);
 void bh__node_process_unreachable(BH__Node *n, const char *peer_address, uint64_t now_us);
 void bh__node_update_vm_list(BH__Node *n, const BH__Vm *vms, unsigned count, uint64_t now_us);
-void bh__node_process_endpoint_probe(BH__Node *n, uint64_t endpoint_id, BH__CrashProof proof,
+void bh__node_process_endpoint_probe(BH__Node *n, uint64_t endpoint_id, BH__CrashEvidence evidence,
 									 uint64_t now_us);
 void bh__node_process_report(BH__Node *n, const BH__LoadReport *report, const char *const *loaded,
 							 uint64_t now_us);
--- a/include/bayhoist/quarantine.h
+++ b/include/bayhoist/quarantine.h
@@ -13,13 +13,13 @@
 /* The unit of evidence is half a crash. Three crashes quarantine a request. Two would be too few: of 218
  * innocent requests that ran beside two crashing ones over 28 s, 120 were under way in a second crash. */
 #define BH__CRASH_WEIGHT 2
-#define BH__CONDEMNING_WEIGHT (3 * BH__CRASH_WEIGHT)
+#define BH__QUARANTINE_THRESHOLD_WEIGHT (3 * BH__CRASH_WEIGHT)
 /* Threshold for a request that shares the most evidence with another request of the crash. It is one crash
  * higher because either may be the cause. */
-#define BH__CONDEMNING_WEIGHT_SHARED (4 * BH__CRASH_WEIGHT)
+#define BH__QUARANTINE_THRESHOLD_WEIGHT_SHARED (4 * BH__CRASH_WEIGHT)
 /* Weight from which the other nodes are notified of an entry. It is two crashes because most requests that
  * are under way in one crash are in no second one. */
-#define BH__TOLD_WEIGHT (2 * BH__CRASH_WEIGHT)
+#define BH__QUARANTINE_NOTIFY_WEIGHT (2 * BH__CRASH_WEIGHT)
 #define BH__QUARANTINE_CRASHES_MAX 4 /* crashed endpoints listed in an entry, the first ones */
 
 typedef enum {
@@ -33,11 +33,11 @@
 extern const char *const BH__QuarantineStateString[];
 
 typedef enum {
-	BH__QUARANTINE_CRASH,   /* an endpoint crashed while the request was under way on it */
-	BH__QUARANTINE_CONDEMN, /* the same, and the evidence reaches the threshold */
-	BH__QUARANTINE_SERVE,   /* an endpoint completed the request */
-	BH__QUARANTINE_RELEASE, /* an operator released the request */
-	BH__QUARANTINE_EXPIRE,  /* the time of its state has ended */
+	BH__QUARANTINE_CRASH,           /* an endpoint crashed while the request was under way on it */
+	BH__QUARANTINE_THRESHOLD_CRASH, /* the same, and the evidence reaches the threshold */
+	BH__QUARANTINE_SERVE,           /* an endpoint completed the request */
+	BH__QUARANTINE_RELEASE,         /* an operator released the request */
+	BH__QUARANTINE_EXPIRE,          /* the time of its state has ended */
 	BH__QUARANTINE_EVENT_COUNT
 } BH__QuarantineEvent;
 
@@ -79,7 +79,7 @@
 								  uint64_t now_us);
 bool bh__quarantine_process_event(BH__Quarantine *q, const BH__Fingerprint *f, BH__QuarantineEvent event,
 								  uint64_t now_us);
-bool bh__quarantine_learn(BH__Quarantine *q, const BH__QuarantineEntry *entry, uint64_t now_us);
+bool bh__quarantine_merge(BH__Quarantine *q, const BH__QuarantineEntry *entry, uint64_t now_us);
 void bh__quarantine_process_tick(BH__Quarantine *q, uint64_t now_us);
 uint64_t bh__quarantine_get_held_us(BH__Quarantine *q, const BH__Fingerprint *f, uint64_t now_us);
 void bh__quarantine_note_refusal(BH__Quarantine *q);
--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -698,7 +698,7 @@
 /* Finds another endpoint, at once or after the crash that the request has met was judged. */
 static void send_again_(Call *c)
 {
-	if (!c->was_broken || !crashes_is_suspected(c->gate->crashes, &c->fingerprint)) {
+	if (!c->was_aborted || !crashes_is_suspected(c->gate->crashes, &c->fingerprint)) {
 		place_(c);
 		return;
 	}
--- a/src/bayhoist-gate/call_internal.h
+++ b/src/bayhoist-gate/call_internal.h
@@ -51,7 +51,7 @@
 	bool told_progress;    /* the scheduler knows that this sending's answer has begun */
 	BH__EventStream events;
 	bool paused;
-	bool was_broken; /* a sending that an endpoint broke off was reported */
+	bool was_aborted; /* a sending that an endpoint broke off was reported */
 	struct event *timer;
 };
 
--- a/src/bayhoist-gate/crashes.c
+++ b/src/bayhoist-gate/crashes.c
@@ -35,7 +35,7 @@
 static void on_send_(BH__CrashPort *port, uint64_t node_id, BH__Message *m);
 static bool on_find_endpoint_(BH__CrashPort *port, uint64_t endpoint_id, uint64_t *born_ms);
 static void on_look_(BH__CrashPort *port, uint64_t endpoint_id);
-static void on_dialled_(void *look, DialEnd end);
+static void on_dialled_(void *probe, DialEnd end);
 static void on_changed_(BH__CrashPort *port, const BH__QuarantineEntry *e, bool judged);
 static void log_entry_(const Crashes *c, const char *what, const BH__QuarantineEntry *e);
 static void set_timer_(Crashes *c);
@@ -50,7 +50,7 @@
 	Crashes *c = g_new0(Crashes, 1);
 
 	c->port = (BH__CrashPort){
-		.send = on_send_, .find_endpoint = on_find_endpoint_, .look = on_look_, .changed = on_changed_};
+		.send = on_send_, .find_endpoint = on_find_endpoint_, .probe = on_look_, .changed = on_changed_};
 	c->gate = g;
 	c->watch = bh__crash_watch_new(&c->port, cluster_get_own_members(g->cluster));
 	c->looks = g_hash_table_new(g_direct_hash, g_direct_equal);
@@ -62,14 +62,14 @@
 void crashes_delete(Crashes *c)
 {
 	GHashTableIter it;
-	gpointer look;
+	gpointer probe;
 
 	if (!c)
 		return;
 	g_hash_table_iter_init(&it, c->looks);
-	while (g_hash_table_iter_next(&it, &look, NULL)) {
-		dial_cancel(((Look *)look)->dial);
-		g_free(look);
+	while (g_hash_table_iter_next(&it, &probe, NULL)) {
+		dial_cancel(((Look *)probe)->dial);
+		g_free(probe);
 	}
 	event_free(c->timer);
 	g_hash_table_unref(c->looks);
@@ -100,14 +100,14 @@
 void crashes_note_broken(Crashes *c, const char *service, uint64_t endpoint_id, const BH__Fingerprint *f,
 						 bool helped)
 {
-	bh__crash_watch_note_broken(c->watch, bh__hash_name(service), endpoint_id, f, helped, clock_now_us());
+	bh__crash_watch_note_aborted(c->watch, bh__hash_name(service), endpoint_id, f, helped, clock_now_us());
 	set_timer_(c);
 }
 
-/* A request was served; `was_broken`: after this node had reported that it was broken off. */
-void crashes_note_served(Crashes *c, const char *service, const BH__Fingerprint *f, bool was_broken)
+/* A request was served; `was_aborted`: after this node had reported that it was broken off. */
+void crashes_note_served(Crashes *c, const char *service, const BH__Fingerprint *f, bool was_aborted)
 {
-	bh__crash_watch_note_served(c->watch, bh__hash_name(service), f, was_broken, clock_now_us());
+	bh__crash_watch_note_served(c->watch, bh__hash_name(service), f, was_aborted, clock_now_us());
 }
 
 /* Takes a message. Returns false if it is not one on crashes alone. */
@@ -148,20 +148,21 @@
 	g_hash_table_add(c->looks, l);
 }
 
-static void on_dialled_(void *look, DialEnd end)
+static void on_dialled_(void *probe, DialEnd end)
 {
-	static const BH__CrashProof Proofs[] = {[DIAL_CONNECTED] = BH__CRASH_DENIED,
-											[DIAL_REFUSED] = BH__CRASH_PROVEN,
-											[DIAL_SILENT] = BH__CRASH_UNKNOWN};
-	Look *l = look;
+	static const BH__CrashEvidence Evidence[] = {[DIAL_CONNECTED] = BH__CRASH_DISPROVEN,
+												 [DIAL_REFUSED] = BH__CRASH_CONFIRMED,
+												 [DIAL_SILENT] = BH__CRASH_UNKNOWN};
+	Look *l = probe;
 	Crashes *c = l->crashes;
 	const BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, l->endpoint_id);
 	uint64_t endpoint_id = l->endpoint_id;
 
 	g_hash_table_remove(c->looks, l);
 	g_free(l);
-	log_event("crash", "endpoint=%s proof=%s", e ? e->entry.id : "gone", BH__CrashProofString[Proofs[end]]);
-	bh__crash_watch_process_proof(c->watch, endpoint_id, Proofs[end], clock_now_us());
+	log_event("crash", "endpoint=%s proof=%s", e ? e->entry.id : "gone",
+			  BH__CrashEvidenceString[Evidence[end]]);
+	bh__crash_watch_process_evidence(c->watch, endpoint_id, Evidence[end], clock_now_us());
 	set_timer_(c);
 }
 
@@ -265,7 +266,7 @@
 /* Takes an entry of the platform's record; `since_us` is its age. */
 void crashes_learn(Crashes *c, const BH__QuarantineEntry *aged, uint64_t now_us)
 {
-	bh__crash_watch_learn(c->watch, aged, now_us);
+	bh__crash_watch_merge(c->watch, aged, now_us);
 }
 
 /* An operator lets a request go. Returns false if it is neither suspected nor held. */
@@ -337,5 +338,5 @@
 						"bayhoist_quarantine_cleared_total %" G_GUINT64_FORMAT "\n"
 						"bayhoist_quarantine_refusals_total %" G_GUINT64_FORMAT "\n"
 						"bayhoist_crashes_judged_total %" G_GUINT64_FORMAT "\n",
-						k->held, k->cleared, k->refusals, bh__crash_watch_get_judged(c->watch));
+						k->held, k->cleared, k->refusals, bh__crash_watch_get_evaluated(c->watch));
 }
--- a/src/bayhoist-gate/crashes.h
+++ b/src/bayhoist-gate/crashes.h
@@ -13,7 +13,7 @@
 void crashes_note_refusal(Crashes *c);
 void crashes_note_broken(Crashes *c, const char *service, uint64_t endpoint_id, const BH__Fingerprint *f,
 						 bool helped);
-void crashes_note_served(Crashes *c, const char *service, const BH__Fingerprint *f, bool was_broken);
+void crashes_note_served(Crashes *c, const char *service, const BH__Fingerprint *f, bool was_aborted);
 void crashes_follow_registry(Crashes *c, uint64_t now_us);
 void crashes_follow_era(Crashes *c);
 void crashes_learn(Crashes *c, const BH__QuarantineEntry *aged, uint64_t now_us);
--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/sending.c
@@ -333,10 +333,10 @@
 	bool helper_gone = end == BH__DISPATCH_REFUSED && at_fault != c->endpoint_id;
 
 	if (end == BH__DISPATCH_ANSWERED)
-		crashes_note_served(crashes, c->service->name, &c->fingerprint, c->was_broken);
+		crashes_note_served(crashes, c->service->name, &c->fingerprint, c->was_aborted);
 	if (!broke && !helper_gone)
 		return;
-	c->was_broken = true;
+	c->was_aborted = true;
 	crashes_note_broken(crashes, c->service->name, at_fault, &c->fingerprint, helper_gone);
 }
 
--- a/src/bayhoistd/look.c
+++ b/src/bayhoistd/look.c
@@ -29,13 +29,13 @@
 
 static void on_dialled_(void *look, DialEnd end)
 {
-	static const BH__CrashProof Proofs[] = {[DIAL_CONNECTED] = BH__CRASH_DENIED,
-											[DIAL_REFUSED] = BH__CRASH_PROVEN,
-											[DIAL_SILENT] = BH__CRASH_UNKNOWN};
+	static const BH__CrashEvidence Evidence[] = {[DIAL_CONNECTED] = BH__CRASH_DISPROVEN,
+												 [DIAL_REFUSED] = BH__CRASH_CONFIRMED,
+												 [DIAL_SILENT] = BH__CRASH_UNKNOWN};
 	Look *l = look;
 
 	g_hash_table_remove(l->daemon->looks, l);
-	bh__node_process_endpoint_probe(l->daemon->node, l->endpoint_id, Proofs[end], clock_now_us());
+	bh__node_process_endpoint_probe(l->daemon->node, l->endpoint_id, Evidence[end], clock_now_us());
 	g_free(l);
 }
 
--- a/src/bench/bench_suspects.c
+++ b/src/bench/bench_suspects.c
@@ -206,9 +206,9 @@
 	GArray *changed = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
 	GArray *told = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
 
-	bh__crash_reports_judge(n->reports, n->quarantine, changed, r->now_us);
+	bh__crash_reports_evaluate(n->reports, n->quarantine, changed, r->now_us);
 	for (guint i = 0; i < changed->len; i++)
-		if (g_array_index(changed, BH__QuarantineEntry, i).weight >= BH__TOLD_WEIGHT)
+		if (g_array_index(changed, BH__QuarantineEntry, i).weight >= BH__QUARANTINE_NOTIFY_WEIGHT)
 			g_array_append_val(told, g_array_index(changed, BH__QuarantineEntry, i));
 	for (unsigned i = 0; r->way == WAY_JUDGE && told->len && i < r->nodes; i++) {
 		Event *e = i == node ? NULL : send_message_(r, node, i, 20 + ENTRY_BYTES * told->len);
@@ -374,7 +374,7 @@
 		return;
 	}
 	for (guint i = 0; i < e->entries->len; i++)
-		bh__quarantine_learn(n->quarantine, &g_array_index(e->entries, BH__QuarantineEntry, i), r->now_us);
+		bh__quarantine_merge(n->quarantine, &g_array_index(e->entries, BH__QuarantineEntry, i), r->now_us);
 	note_known_(r, e->node);
 }
 
@@ -466,7 +466,7 @@
 		break;
 	case LOOK:
 		if (r->node[e->node].reports)
-			bh__crash_reports_process_proof(r->node[e->node].reports, e->engine + 1, BH__CRASH_PROVEN);
+			bh__crash_reports_process_evidence(r->node[e->node].reports, e->engine + 1, BH__CRASH_CONFIRMED);
 		break;
 	case JUDGE:
 		if (r->node[e->node].reports)
--- a/src/libbayhoist/attempt.c
+++ b/src/libbayhoist/attempt.c
@@ -254,7 +254,7 @@
 		abandon_attempt_(n, e, BH__RELEASE_FAILED, answering && e->resumes > 0);
 		break;
 	case BH__ATTEMPT_BROKEN:
-		bh__crashes_note_broken(n, e, member->endpoint_id);
+		bh__crashes_note_aborted(n, e, member->endpoint_id);
 		on_connection_broken_(n, e);
 		break;
 	case BH__ATTEMPT_UNKNOWN:
--- a/src/libbayhoist/crash_duty.c
+++ b/src/libbayhoist/crash_duty.c
@@ -17,7 +17,7 @@
 void bh__crashes_init(BH__Node *n)
 {
 	n->crash_port = (BH__CrashPort){
-		.send = on_send_, .find_endpoint = on_find_endpoint_, .look = on_probe_, .changed = on_changed_};
+		.send = on_send_, .find_endpoint = on_find_endpoint_, .probe = on_probe_, .changed = on_changed_};
 	n->crashes = bh__crash_watch_new(&n->crash_port, n->members);
 }
 
@@ -52,12 +52,13 @@
 }
 
 /* Processes the result of the liveness probe of an endpoint that aborted a request. */
-void bh__node_process_endpoint_probe(BH__Node *n, uint64_t endpoint_id, BH__CrashProof proof, uint64_t now_us)
+void bh__node_process_endpoint_probe(BH__Node *n, uint64_t endpoint_id, BH__CrashEvidence evidence,
+									 uint64_t now_us)
 {
 	n->now_us = now_us;
 	bh__node_event(n, BH__EVENT_ENDPOINT, 0, 0, bh__node_get_endpoint_name(n, endpoint_id),
-				   proof == BH__CRASH_PROVEN ? "crashed" : "broke-off", 0);
-	bh__crash_watch_process_proof(n->crashes, endpoint_id, proof, now_us);
+				   evidence == BH__CRASH_CONFIRMED ? "crashed" : "broke-off", 0);
+	bh__crash_watch_process_evidence(n->crashes, endpoint_id, evidence, now_us);
 	bh__node_drain_inbox(n);
 }
 
@@ -109,17 +110,17 @@
 }
 
 /* Reports that an endpoint aborted a request. Requests without a fingerprint are ignored. */
-void bh__crashes_note_broken(BH__Node *n, BH__RequestEntry *e, uint64_t endpoint_id)
+void bh__crashes_note_aborted(BH__Node *n, BH__RequestEntry *e, uint64_t endpoint_id)
 {
 	if (bh__fingerprint_is_none(&e->fingerprint))
 		return;
-	e->was_broken = true;
-	bh__crash_watch_note_broken(n->crashes, e->model_id, endpoint_id, &e->fingerprint, false, n->now_us);
+	e->was_aborted = true;
+	bh__crash_watch_note_aborted(n->crashes, e->model_id, endpoint_id, &e->fingerprint, false, n->now_us);
 }
 
 /* Reports that a request was served. Requests without a fingerprint are ignored. */
 void bh__crashes_note_served(BH__Node *n, const BH__RequestEntry *e)
 {
 	if (!bh__fingerprint_is_none(&e->fingerprint))
-		bh__crash_watch_note_served(n->crashes, e->model_id, &e->fingerprint, e->was_broken, n->now_us);
+		bh__crash_watch_note_served(n->crashes, e->model_id, &e->fingerprint, e->was_aborted, n->now_us);
 }
--- a/src/libbayhoist/crash_reports.c
+++ b/src/libbayhoist/crash_reports.c
@@ -12,7 +12,7 @@
 #define NEW_CASE_US_ (500 * BH__MS_US)
 #define CASES_MAX_ 1024 /* endpoints that may abort requests at once; the platform has 870 */
 
-const char *const BH__CrashProofString[] = {"unknown", "denied", "proven"};
+const char *const BH__CrashEvidenceString[] = {"unknown", "denied", "proven"};
 
 /* An endpoint that aborted requests, and the requests. */
 typedef struct {
@@ -20,7 +20,7 @@
 	uint64_t started_ms;   /* start time of the endpoint when it aborted; 0: unknown */
 	uint64_t opened_us;    /* time of the first report */
 	uint64_t evaluated_us; /* time of the first evaluation; 0: not evaluated */
-	BH__CrashProof proof;
+	BH__CrashEvidence evidence;
 	BH__CrashFinding finding;
 	GArray *suspects;      /* BH__CrashSuspect, one for each request */
 	guint evaluated_count; /* number of suspects evaluated, the first ones of `suspects` */
@@ -96,12 +96,12 @@
 
 /* Stores the result of a liveness probe. A confirmed crash stays confirmed because the endpoint may have
  * restarted by the next probe. */
-void bh__crash_reports_process_proof(BH__CrashReports *r, uint64_t endpoint_id, BH__CrashProof proof)
+void bh__crash_reports_process_evidence(BH__CrashReports *r, uint64_t endpoint_id, BH__CrashEvidence evidence)
 {
 	Case_ *c = g_hash_table_lookup(r->cases, &endpoint_id);
 
-	if (c && c->proof != BH__CRASH_PROVEN)
-		c->proof = proof;
+	if (c && c->evidence != BH__CRASH_CONFIRMED)
+		c->evidence = evidence;
 }
 
 /* Processes the start time that an endpoint reports. A later start than that of the case confirms the
@@ -111,19 +111,19 @@
 	const Case_ *c = g_hash_table_lookup(r->cases, &endpoint_id);
 
 	if (c && c->started_ms && started_ms > c->started_ms)
-		bh__crash_reports_process_proof(r, endpoint_id, BH__CRASH_PROVEN);
+		bh__crash_reports_process_evidence(r, endpoint_id, BH__CRASH_CONFIRMED);
 }
 
 /* Returns true if a case is a confirmed crash, has settled, and has suspects to evaluate. */
 static bool is_due_(const Case_ *c, uint64_t now_us)
 {
-	return c->proof == BH__CRASH_PROVEN && now_us >= c->opened_us + SETTLE_US_ &&
+	return c->evidence == BH__CRASH_CONFIRMED && now_us >= c->opened_us + SETTLE_US_ &&
 		   c->evaluated_count < c->suspects->len;
 }
 
 /* Evaluates the confirmed crashes that have settled, appends the entries that changed to `changed`, and
  * closes expired cases. Returns true if a crash was evaluated. */
-bool bh__crash_reports_judge(BH__CrashReports *r, BH__Quarantine *q, GArray *changed, uint64_t now_us)
+bool bh__crash_reports_evaluate(BH__CrashReports *r, BH__Quarantine *q, GArray *changed, uint64_t now_us)
 {
 	bool any = false;
 	GHashTableIter it;
@@ -146,7 +146,7 @@
 	return any;
 }
 
-/* Returns the time at which bh__crash_reports_judge() must be called next; UINT64_MAX: not before the next
+/* Returns the time at which bh__crash_reports_evaluate() must be called next; UINT64_MAX: not before the next
  * report or probe result. */
 uint64_t bh__crash_reports_get_due_us(const BH__CrashReports *r)
 {
@@ -157,7 +157,7 @@
 	g_hash_table_iter_init(&it, r->cases);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const Case_ *c = value;
-		if (c->evaluated_count < c->suspects->len && c->proof == BH__CRASH_PROVEN)
+		if (c->evaluated_count < c->suspects->len && c->evidence == BH__CRASH_CONFIRMED)
 			due_us = MIN(due_us, c->opened_us + SETTLE_US_);
 	}
 	return due_us;
--- a/src/libbayhoist/crash_watch.c
+++ b/src/libbayhoist/crash_watch.c
@@ -67,7 +67,7 @@
 }
 
 /* Returns how often this node has evaluated crashes; crashes that are due together count once. */
-uint64_t bh__crash_watch_get_judged(const BH__CrashWatch *w)
+uint64_t bh__crash_watch_get_evaluated(const BH__CrashWatch *w)
 {
 	return w->evaluated;
 }
@@ -77,7 +77,7 @@
 {
 	const BH__QuarantineEntry *e = bh__quarantine_find(w->quarantine, f);
 
-	return e && e->weight >= BH__TOLD_WEIGHT &&
+	return e && e->weight >= BH__QUARANTINE_NOTIFY_WEIGHT &&
 		   (e->state == BH__QUARANTINE_SUSPECTED || e->state == BH__QUARANTINE_PROBATION);
 }
 
@@ -93,8 +93,8 @@
 /* Reports that an endpoint of a service aborted a request, which may be the cause of a crash. `for_helper`:
  * the endpoint was only a helper of the request. That weighs half, because each such request has many
  * helpers. */
-void bh__crash_watch_note_broken(BH__CrashWatch *w, uint64_t service_id, uint64_t endpoint_id,
-								 const BH__Fingerprint *f, bool for_helper, uint64_t now_us)
+void bh__crash_watch_note_aborted(BH__CrashWatch *w, uint64_t service_id, uint64_t endpoint_id,
+								  const BH__Fingerprint *f, bool for_helper, uint64_t now_us)
 {
 	Report_ r = {.service_id = service_id, .at_us = now_us};
 
@@ -109,14 +109,14 @@
 }
 
 /* Reports that a request was served, which clears it. Sends nothing if the request has no entry to clear,
- * unless this node has reported it before (`was_broken`). */
+ * unless this node has reported it before (`was_aborted`). */
 void bh__crash_watch_note_served(BH__CrashWatch *w, uint64_t service_id, const BH__Fingerprint *f,
-								 bool was_broken, uint64_t now_us)
+								 bool was_aborted, uint64_t now_us)
 {
 	const BH__QuarantineEntry *e = bh__quarantine_find(w->quarantine, f);
 	Report_ r = {.service_id = service_id, .at_us = now_us};
 
-	if (!was_broken && (!e || e->state == BH__QUARANTINE_CLEARED))
+	if (!was_aborted && (!e || e->state == BH__QUARANTINE_CLEARED))
 		return;
 	r.message.type = BH__MESSAGE_SUSPECT;
 	r.message.as.suspect.event = BH__QUARANTINE_SERVE;
@@ -148,7 +148,7 @@
 		return true;
 	case BH__MESSAGE_QUARANTINE:
 		for (uint32_t i = 0; i < m->as.quarantine.count; i++)
-			bh__crash_watch_learn(w, &m->as.quarantine.entry[i], now_us);
+			bh__crash_watch_merge(w, &m->as.quarantine.entry[i], now_us);
 		return true;
 	default:
 		return false;
@@ -171,14 +171,14 @@
 	if (!w->port->find_endpoint(w->port, endpoint_id, &started_ms))
 		return;
 	if (bh__crash_reports_process(w->reports, endpoint_id, started_ms, suspect, now_us))
-		w->port->look(w->port, endpoint_id);
+		w->port->probe(w->port, endpoint_id);
 }
 
 /* Processes the result of the liveness probe of an endpoint that aborted a request. */
-void bh__crash_watch_process_proof(BH__CrashWatch *w, uint64_t endpoint_id, BH__CrashProof proof,
-								   uint64_t now_us)
+void bh__crash_watch_process_evidence(BH__CrashWatch *w, uint64_t endpoint_id, BH__CrashEvidence evidence,
+									  uint64_t now_us)
 {
-	bh__crash_reports_process_proof(w->reports, endpoint_id, proof);
+	bh__crash_reports_process_evidence(w->reports, endpoint_id, evidence);
 	evaluate_due_(w, now_us);
 }
 
@@ -196,7 +196,7 @@
 {
 	GArray *changed = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
 
-	if (bh__crash_reports_judge(w->reports, w->quarantine, changed, now_us))
+	if (bh__crash_reports_evaluate(w->reports, w->quarantine, changed, now_us))
 		w->evaluated++;
 	publish_changes_(w, changed, true, now_us);
 	g_array_unref(changed);
@@ -217,7 +217,7 @@
 
 	for (guint i = 0; i < changed->len; i++) {
 		const BH__QuarantineEntry *e = &g_array_index(changed, BH__QuarantineEntry, i);
-		if (e->weight >= BH__TOLD_WEIGHT)
+		if (e->weight >= BH__QUARANTINE_NOTIFY_WEIGHT)
 			g_array_append_val(shared, *e);
 	}
 	for (unsigned i = 1; evaluated && shared->len && i < bh__members_get_count(w->members); i++) {
@@ -278,13 +278,13 @@
 }
 
 /* Merges an entry from another node or a stored record; its `since_us` is an age. */
-void bh__crash_watch_learn(BH__CrashWatch *w, const BH__QuarantineEntry *aged, uint64_t now_us)
+void bh__crash_watch_merge(BH__CrashWatch *w, const BH__QuarantineEntry *aged, uint64_t now_us)
 {
 	GArray *changed = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
 	BH__QuarantineEntry e = *aged;
 
 	e.since_us = now_us - aged->since_us;
-	if (bh__quarantine_learn(w->quarantine, &e, now_us))
+	if (bh__quarantine_merge(w->quarantine, &e, now_us))
 		g_array_append_val(changed, e);
 	publish_changes_(w, changed, false, now_us);
 	g_array_unref(changed);
--- a/src/libbayhoist/include/private/node_internal.h
+++ b/src/libbayhoist/include/private/node_internal.h
@@ -63,8 +63,8 @@
 	uint32_t drain_waits;       /* pauses of the current attempt for gang engines that had not drained */
 	uint64_t idempotency_entry; /* 0: the request is repeatable or has no key */
 	BH__Fingerprint fingerprint;
-	bool was_broken; /* an endpoint broke the request off, and this was reported as a possible crash */
-	GString *answer; /* answer so far, for a later replay; NULL: not kept */
+	bool was_aborted; /* an endpoint broke the request off, and this was reported as a possible crash */
+	GString *answer;  /* answer so far, for a later replay; NULL: not kept */
 } BH__RequestEntry;
 
 /* A pool that this node schedules. */
@@ -159,7 +159,7 @@
 void bh__crashes_init(BH__Node *n);
 uint64_t bh__crashes_get_held_us(const BH__Node *n, const BH__Fingerprint *f);
 bool bh__crashes_end_held(BH__Node *n, BH__RequestEntry *e);
-void bh__crashes_note_broken(BH__Node *n, BH__RequestEntry *e, uint64_t endpoint_id);
+void bh__crashes_note_aborted(BH__Node *n, BH__RequestEntry *e, uint64_t endpoint_id);
 void bh__crashes_note_served(BH__Node *n, const BH__RequestEntry *e);
 
 /* duty.c */
--- a/src/libbayhoist/quarantine.c
+++ b/src/libbayhoist/quarantine.c
@@ -177,14 +177,16 @@
 		const BH__CrashSuspect *s = &suspect[i];
 		uint32_t weight = get_weight_(q, &s->fingerprint);
 		bool is_sole_max = weight == finding->max_weight && finding->max_weight_count == 1;
-		uint32_t threshold_weight = is_sole_max ? BH__CONDEMNING_WEIGHT : BH__CONDEMNING_WEIGHT_SHARED;
+		uint32_t threshold_weight =
+			is_sole_max ? BH__QUARANTINE_THRESHOLD_WEIGHT : BH__QUARANTINE_THRESHOLD_WEIGHT_SHARED;
 		BH__QuarantineEntry *e;
 		if ((uint64_t)weight + EXPLAINED_LEAD_ < finding->max_weight ||
 			is_counted_(q, s, endpoint_id, now_us))
 			continue;
 		e = find_or_add_(q, &s->fingerprint, now_us);
 		add_evidence_(e, endpoint_id, s->weight, now_us);
-		apply_event_(q, e, e->weight >= threshold_weight ? BH__QUARANTINE_CONDEMN : BH__QUARANTINE_CRASH,
+		apply_event_(q, e,
+					 e->weight >= threshold_weight ? BH__QUARANTINE_THRESHOLD_CRASH : BH__QUARANTINE_CRASH,
 					 now_us);
 		g_array_append_val(changed, *e);
 	}
@@ -254,7 +256,7 @@
 
 /* Merges the entry of another node; its `since_us` is by this node's clock. The higher version wins; of equal
  * versions, the higher state. Returns false if the received entry does not win or has expired. */
-bool bh__quarantine_learn(BH__Quarantine *q, const BH__QuarantineEntry *entry, uint64_t now_us)
+bool bh__quarantine_merge(BH__Quarantine *q, const BH__QuarantineEntry *entry, uint64_t now_us)
 {
 	BH__QuarantineEntry *e = find_(q, &entry->fingerprint);
 	bool was_held = e && e->state == BH__QUARANTINE_HELD;
@@ -296,7 +298,7 @@
 		}
 		apply_event_(q, e, BH__QUARANTINE_EXPIRE, now_us);
 		e->since_us = now_us;
-		e->weight = BH__CONDEMNING_WEIGHT - BH__CRASH_WEIGHT;
+		e->weight = BH__QUARANTINE_THRESHOLD_WEIGHT - BH__CRASH_WEIGHT;
 	}
 }
 
@@ -327,7 +329,7 @@
 /* Returns true if the other nodes are notified of an entry. */
 static bool is_notified_(const BH__QuarantineEntry *e)
 {
-	return e->weight >= BH__TOLD_WEIGHT;
+	return e->weight >= BH__QUARANTINE_NOTIFY_WEIGHT;
 }
 
 /* Appends all entries (BH__QuarantineEntry) to `out`, or only those of which other nodes are notified. */
--- a/src/test_libbayhoist/test_crash_watch.c
+++ b/src/test_libbayhoist/test_crash_watch.c
@@ -96,7 +96,7 @@
 	BH__MemberInfo info = {.boot_id = 1, .state = BH__MEMBER_ALIVE, .capacity = 100};
 
 	n->port = (BH__CrashPort){
-		.send = on_send_, .find_endpoint = on_find_endpoint_, .look = on_probe_, .changed = on_changed_};
+		.send = on_send_, .find_endpoint = on_find_endpoint_, .probe = on_probe_, .changed = on_changed_};
 	n->fleet = f;
 	n->index = index;
 	n->pending_probes = g_array_new(FALSE, FALSE, sizeof(uint64_t));
@@ -149,7 +149,7 @@
 	while (n->pending_probes->len) {
 		uint64_t endpoint_id = g_array_index(n->pending_probes, uint64_t, 0);
 		g_array_remove_index(n->pending_probes, 0);
-		bh__crash_watch_process_proof(n->watch, endpoint_id, BH__CRASH_PROVEN, f->now_us);
+		bh__crash_watch_process_evidence(n->watch, endpoint_id, BH__CRASH_CONFIRMED, f->now_us);
 	}
 }
 
@@ -188,7 +188,7 @@
 {
 	BH__Fingerprint r = request_(request);
 
-	bh__crash_watch_note_broken(f->node[node].watch, SERVICE, endpoint, &r, false, f->now_us);
+	bh__crash_watch_note_aborted(f->node[node].watch, SERVICE, endpoint, &r, false, f->now_us);
 }
 
 /* Returns the number of nodes that have quarantined a request. */
--- a/src/test_libbayhoist/test_quarantine.c
+++ b/src/test_libbayhoist/test_quarantine.c
@@ -65,7 +65,7 @@
 	unsigned n;
 
 	fixture->now_us += ms * MS;
-	bh__crash_reports_judge(fixture->reports, fixture->quarantine, changed, fixture->now_us);
+	bh__crash_reports_evaluate(fixture->reports, fixture->quarantine, changed, fixture->now_us);
 	bh__quarantine_process_tick(fixture->quarantine, fixture->now_us);
 	n = changed->len;
 	g_array_unref(changed);
@@ -82,7 +82,7 @@
 	for (uint64_t n = first; n; n = va_arg(more, uint64_t))
 		report_(fixture, endpoint, n);
 	va_end(more);
-	bh__crash_reports_process_proof(fixture->reports, endpoint, BH__CRASH_PROVEN);
+	bh__crash_reports_process_evidence(fixture->reports, endpoint, BH__CRASH_CONFIRMED);
 	evaluate_after_(fixture, 100);
 }
 
@@ -143,7 +143,7 @@
 		report_(fixture, endpoint, CULPRIT);
 		for (uint64_t n = 0; n < 11; n++)
 			report_(fixture, endpoint, 100 * endpoint + n);
-		bh__crash_reports_process_proof(fixture->reports, endpoint, BH__CRASH_PROVEN);
+		bh__crash_reports_process_evidence(fixture->reports, endpoint, BH__CRASH_CONFIRMED);
 	}
 	assert_int_equal(evaluate_after_(fixture, 59), 0);
 	evaluate_after_(fixture, 1);
@@ -162,7 +162,8 @@
 		for (uint64_t endpoint = 1; endpoint <= 435; endpoint++) {
 			for (uint64_t n = 0; n < 12; n++)
 				report_(fixture, 1000 * round + endpoint, 12 * endpoint + n);
-			bh__crash_reports_process_proof(fixture->reports, 1000 * round + endpoint, BH__CRASH_PROVEN);
+			bh__crash_reports_process_evidence(fixture->reports, 1000 * round + endpoint,
+											   BH__CRASH_CONFIRMED);
 		}
 		evaluate_after_(fixture, 100);
 	}
@@ -173,13 +174,13 @@
 
 static void abort_without_a_crash_is_no_evidence_(void **state)
 {
-	static const BH__CrashProof Proofs[] = {BH__CRASH_UNKNOWN, BH__CRASH_DENIED};
+	static const BH__CrashEvidence Evidence[] = {BH__CRASH_UNKNOWN, BH__CRASH_DISPROVEN};
 	Fixture *fixture = *state;
 
-	for (unsigned k = 0; k < G_N_ELEMENTS(Proofs); k++)
+	for (unsigned k = 0; k < G_N_ELEMENTS(Evidence); k++)
 		for (uint64_t i = 0; i < 8; i++) {
 			report_(fixture, 100 * k + i, CULPRIT);
-			bh__crash_reports_process_proof(fixture->reports, 100 * k + i, Proofs[k]);
+			bh__crash_reports_process_evidence(fixture->reports, 100 * k + i, Evidence[k]);
 			assert_int_equal(evaluate_after_(fixture, 200), 0);
 		}
 	assert_int_equal(bh__quarantine_get_counters(fixture->quarantine)->held, 0);
@@ -190,7 +191,7 @@
 	Fixture *fixture = *state;
 
 	report_(fixture, 1, CULPRIT);
-	bh__crash_reports_process_proof(fixture->reports, 1, BH__CRASH_DENIED);
+	bh__crash_reports_process_evidence(fixture->reports, 1, BH__CRASH_DISPROVEN);
 	assert_int_equal(evaluate_after_(fixture, 3000), 0);
 	bh__crash_reports_process_start(fixture->reports, 1,
 									5000); /* the start before the abort, reported again */
@@ -200,7 +201,7 @@
 	for (unsigned round = 0; round < 2; round++) { /* it restarts under the same id and crashes again */
 		evaluate_after_(fixture, 2000);
 		report_(fixture, 1, CULPRIT);
-		bh__crash_reports_process_proof(fixture->reports, 1, BH__CRASH_PROVEN);
+		bh__crash_reports_process_evidence(fixture->reports, 1, BH__CRASH_CONFIRMED);
 		evaluate_after_(fixture, 100);
 	}
 	assert_true(is_held_(fixture, CULPRIT));
@@ -212,10 +213,10 @@
 
 	for (uint64_t endpoint = 1; endpoint <= 4; endpoint++) {
 		report_(fixture, endpoint, 11);
-		bh__crash_reports_process_proof(fixture->reports, endpoint, BH__CRASH_DENIED);
+		bh__crash_reports_process_evidence(fixture->reports, endpoint, BH__CRASH_DISPROVEN);
 		evaluate_after_(fixture, 600);
 		report_(fixture, endpoint, CULPRIT);
-		bh__crash_reports_process_proof(fixture->reports, endpoint, BH__CRASH_PROVEN);
+		bh__crash_reports_process_evidence(fixture->reports, endpoint, BH__CRASH_CONFIRMED);
 		evaluate_after_(fixture, 600);
 	}
 	assert_true(is_held_(fixture, CULPRIT));
@@ -229,7 +230,7 @@
 
 	for (uint64_t endpoint = 1; endpoint <= 3; endpoint++) {
 		report_(fixture, endpoint, 10 + endpoint);
-		bh__crash_reports_process_proof(fixture->reports, endpoint, BH__CRASH_PROVEN);
+		bh__crash_reports_process_evidence(fixture->reports, endpoint, BH__CRASH_CONFIRMED);
 		evaluate_after_(fixture, 100);
 		report_(fixture, endpoint, CULPRIT);
 		evaluate_after_(fixture, 10);
@@ -287,16 +288,16 @@
 		crash_(fixture, N(CULPRIT), END);
 	held = *bh__quarantine_find(fixture->quarantine, &f);
 	assert_int_not_equal(bh__quarantine_get_hash(other), bh__quarantine_get_hash(fixture->quarantine));
-	assert_true(bh__quarantine_learn(other, &held, fixture->now_us));
-	assert_false(bh__quarantine_learn(other, &held, fixture->now_us));
+	assert_true(bh__quarantine_merge(other, &held, fixture->now_us));
+	assert_false(bh__quarantine_merge(other, &held, fixture->now_us));
 	assert_int_equal(bh__quarantine_get_hash(other), bh__quarantine_get_hash(fixture->quarantine));
 	assert_true(bh__quarantine_process_event(other, &f, BH__QUARANTINE_RELEASE, fixture->now_us));
-	assert_false(bh__quarantine_learn(other, &held, fixture->now_us)); /* a released entry is not restored */
-	assert_true(bh__quarantine_learn(fixture->quarantine, bh__quarantine_find(other, &f), fixture->now_us));
+	assert_false(bh__quarantine_merge(other, &held, fixture->now_us)); /* a released entry is not restored */
+	assert_true(bh__quarantine_merge(fixture->quarantine, bh__quarantine_find(other, &f), fixture->now_us));
 	assert_false(is_held_(fixture, CULPRIT));
 	held.version += 10;
 	assert_false(
-		bh__quarantine_learn(other, &held, held.since_us + 600 * S)); /* the quarantine has expired */
+		bh__quarantine_merge(other, &held, held.since_us + 600 * S)); /* the quarantine has expired */
 	bh__quarantine_delete(other);
 }
 
--- a/src/test_libbayhoist/world.c
+++ b/src/test_libbayhoist/world.c
@@ -195,8 +195,8 @@
 	BH__Node *node = target_(w, e);
 
 	if (node && !put_off_(w, e))
-		bh__node_process_endpoint_probe(node, e->engine->id,
-										e->engine->dead ? BH__CRASH_PROVEN : BH__CRASH_DENIED, w->now_us);
+		bh__node_process_endpoint_probe(
+			node, e->engine->id, e->engine->dead ? BH__CRASH_CONFIRMED : BH__CRASH_DISPROVEN, w->now_us);
 }
 
 static void on_look_(BH__NodePorts *ports, uint64_t endpoint_id)
