--- a/include/bayhoist/once.h
+++ b/include/bayhoist/once.h
@@ -1,5 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* At most once: what became of requests that must not be repeated, in the memory of one node's one life. */
+/* The idempotency table: keeps, in the memory of one boot of a node, the outcomes of requests that must run
+ * at most once. */
 #ifndef BAYHOIST_ONCE_H
 #define BAYHOIST_ONCE_H
 
@@ -7,31 +8,34 @@
 #include "bayhoist/types.h"
 #include "bayhoist/verdict.h"
 
-#define BH__STAMP_LEN 64 /* a stamp as text, with its terminator */
+#define BH__STAMP_LEN 64 /* size of a stamp's text, with the terminating NUL */
 
-/* Names the one node life that may run a request: its table knows all that it ran since the stamp. */
+/* An idempotency stamp names the only boot of a node that may run a request. That boot's table has a record
+ * of every request that it ran after it issued the stamp. */
 typedef struct {
 	uint64_t node_id;
 	uint64_t boot_id;
-	uint64_t sequence;
+	uint64_t sequence; /* counts the stamps of the boot, from 1 */
 } BH__Stamp;
 
 typedef enum {
-	BH__ONCE_RUN,       /* not seen before: run it */
-	BH__ONCE_RUNNING,   /* it runs now */
+	BH__ONCE_RUN,       /* not seen before: the caller runs it */
+	BH__ONCE_RUNNING,   /* still running */
 	BH__ONCE_FINISHED,  /* its outcome is known */
-	BH__ONCE_OTHER,     /* the key was used for another request */
-	BH__ONCE_FORGOTTEN, /* older than the table's memory: it may have run */
-	BH__ONCE_ELSEWHERE  /* the stamp is another node's, or another life's */
+	BH__ONCE_OTHER,     /* the key was used with a different request body */
+	BH__ONCE_FORGOTTEN, /* its stamp is not above the low-water mark: it may have run */
+	BH__ONCE_ELSEWHERE  /* the stamp was issued by another node or another boot */
 } BH__OnceState;
 
+/* Names of the states, indexed by BH__OnceState. */
 extern const char *const BH__OnceStateString[];
 
+/* How a request ended. */
 typedef struct {
 	BH__Verdict verdict;
 	BH__Reason reason;
-	const char *answer; /* NULL if it was too large to keep */
-	size_t answer_len;
+	const char *answer; /* NULL if there is none or it was too large to keep */
+	size_t answer_len;  /* in bytes */
 } BH__OnceOutcome;
 
 typedef struct BH__Once BH__Once;
--- a/src/libbayhoist/ledger.c
+++ b/src/libbayhoist/ledger.c
@@ -1,20 +1,24 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The ledger. Its entries and the engines' counts move together; reports of engines correct it, late. */
+/* The ledger changes its entries and the counts of the engines together. Load reports of the engines correct
+ * it, but lag behind. */
 #include "ledger.h"
 
-#define ENDED_KEPT_US_ (3 * BH__SECOND_US) /* an engine's report lags: an ended attempt may still show */
-#define ORPHAN_GRACE_US_ (3 * BH__SECOND_US)
-#define ORPHAN_FORGET_US_ (10 * BH__SECOND_US)
-#define HOLD_GRACE_US_ (2 * BH__SECOND_US)
+#define ENDED_KEPT_US_ (3 * BH__SECOND_US)   /* reports lag: an attempt that has ended may still be in one */
+#define ORPHAN_GRACE_US_ (3 * BH__SECOND_US) /* before the first notification of an orphan, and between two  \
+											  */
+#define ORPHAN_EXPIRY_US_                                                                                    \
+	(10 * BH__SECOND_US)                   /* an orphan that is no longer reported is removed after this */
+#define HOLD_GRACE_US_ (2 * BH__SECOND_US) /* a new grant may be missing from a hold message this long */
 
 /* An attempt on an engine that no grant accounts for. */
 typedef struct {
-	uint64_t key; /* of attempt and engine */
+	uint64_t key; /* hash of the attempt's and the engine's id */
 	uint64_t first_seen_us;
 	uint64_t last_seen_us;
-	uint64_t told_us;
+	uint64_t notified_us; /* when the callback was last called; 0: never */
 } Orphan_;
 
+/* A grant that has ended and whose attempt may still be reported. */
 typedef struct {
 	uint64_t grant_id;
 	uint64_t ended_us;
@@ -23,22 +27,24 @@
 struct BH__Ledger {
 	BH__Engines *engines;
 	BH__LedgerOrphan orphan;
-	void *ctx;
+	void *ctx;           /* argument of `orphan` */
 	GHashTable *entries; /* BH__LedgerEntry by grant id */
-	GHashTable *ended;   /* ids of grants ended a moment ago */
+	GHashTable *ended;   /* ids of grants that ended within ENDED_KEPT_US_; each points into its Ended_ */
 	GQueue ended_order;  /* Ended_ *, oldest first */
 	GHashTable *orphans; /* Orphan_ by key */
 };
 
 static void count_prefill_(BH__Ledger *l, const BH__LedgerEntry *entry, int change, uint64_t now_us);
 static void charge_member_(BH__Ledger *l, const BH__LedgerEntry *entry, uint64_t now_us);
-static GPtrArray *entries_of_(const BH__Ledger *l, uint64_t node_id);
-static void count_as_foreign_(BH__Ledger *l, const BH__Grant *g);
-static void note_orphan_(BH__Ledger *l, const BH__Engine *e, const BH__ReportedAttempt *a, uint64_t now_us);
-static void forget_ended_(BH__Ledger *l, uint64_t now_us);
+static GPtrArray *find_entries_of_node_(const BH__Ledger *l, uint64_t node_id);
+static void count_as_unaccounted_(BH__Ledger *l, const BH__Grant *g);
+static void process_orphan_(BH__Ledger *l, const BH__Engine *e, const BH__ReportedAttempt *a,
+							uint64_t now_us);
+static void remove_old_ended_(BH__Ledger *l, uint64_t now_us);
 static gboolean is_old_orphan_(gpointer key, gpointer value, gpointer now_us);
 
-/* Returns an empty ledger over `engines`. */
+/* Returns an empty ledger over `engines`, which must outlive it. `orphan` is called with `ctx`. The caller
+ * frees the ledger with bh__ledger_delete(). */
 BH__Ledger *bh__ledger_new(BH__Engines *engines, BH__LedgerOrphan orphan, void *ctx)
 {
 	BH__Ledger *l = g_new0(BH__Ledger, 1);
@@ -53,6 +59,7 @@
 	return l;
 }
 
+/* Frees the ledger and its entries. The counts of the engines stay as they are. */
 void bh__ledger_delete(BH__Ledger *l)
 {
 	g_hash_table_unref(l->entries);
@@ -62,20 +69,22 @@
 	g_free(l);
 }
 
+/* Returns the entry of a grant in force, or NULL. */
 BH__LedgerEntry *bh__ledger_find(const BH__Ledger *l, uint64_t grant_id)
 {
 	return g_hash_table_lookup(l->entries, &grant_id);
 }
 
-/* Enters a grant. `begins` says that its first member begins to prefill now; a grant that is only told of may
- * be past that. */
-void bh__ledger_add(BH__Ledger *l, const BH__Grant *g, bool begins, uint64_t now_us)
+/* Adds a grant and counts it at the engines of its members. `starts_prefill` says that its first member
+ * starts to prefill now. It is false for a grant that another node reports, since that may be past its
+ * prefill. */
+void bh__ledger_add(BH__Ledger *l, const BH__Grant *g, bool starts_prefill, uint64_t now_us)
 {
 	BH__LedgerEntry *entry = g_new0(BH__LedgerEntry, 1);
 
 	entry->grant = *g;
 	entry->granted_us = now_us;
-	entry->prefilling = begins && g->tells_progress ? 0 : g->member_count;
+	entry->prefilling = starts_prefill && g->tells_progress ? 0 : g->member_count;
 	g_hash_table_insert(l->entries, &entry->grant.grant_id, entry);
 	for (unsigned i = 0; i < g->member_count; i++) {
 		BH__Engine *e = bh__engines_find(l->engines, g->member[i].endpoint_id);
@@ -88,7 +97,7 @@
 	count_prefill_(l, entry, 1, now_us);
 }
 
-/* Takes a grant out and frees its entry. */
+/* Ends a grant: removes it from the counts of its engines and frees its entry. */
 void bh__ledger_end(BH__Ledger *l, BH__LedgerEntry *entry, uint64_t now_us)
 {
 	Ended_ *ended = g_new(Ended_, 1);
@@ -111,7 +120,8 @@
 	g_hash_table_remove(l->entries, &entry->grant.grant_id);
 }
 
-/* Counts a grant whose prefill is followed in (1) or out (-1) of the engine that prefills for it now. */
+/* Adds a grant to (`change` is 1) or removes it from (-1) the prefill counts of the engine that prefills for
+ * it now. Does nothing if its prefill is not tracked. */
 static void count_prefill_(BH__Ledger *l, const BH__LedgerEntry *entry, int change, uint64_t now_us)
 {
 	BH__Engine *e;
@@ -131,11 +141,12 @@
 		e->long_prefills -= e->long_prefills > 0;
 	if (!e->long_prefills)
 		e->dedicated = false;
-	for (unsigned c = 1; !e->prefills && c < BH__SIZE_CLASSES; c++) /* the prediction was too long */
+	for (unsigned c = 1; !e->prefills && c < BH__SIZE_CLASSES;
+		 c++) /* the predicted prefill time was too long */
 		e->free_at_us[c] = MAX(now_us, e->free_at_us[0]);
 }
 
-/* Adds the prefill that a member of a gang begins to its engine's backlog. */
+/* Adds the prefill that the current member of a gang starts to the backlog of its engine. */
 static void charge_member_(BH__Ledger *l, const BH__LedgerEntry *entry, uint64_t now_us)
 {
 	const BH__GrantMember *m;
@@ -149,7 +160,7 @@
 		bh__engine_charge(e, BH__SIZE_CLASSES - 1, m->token_count, now_us);
 }
 
-/* The member that prefills has done so, and the next one begins. */
+/* Processes the end of the current member's prefill: the next member, if any, starts to prefill. */
 void bh__ledger_process_progress(BH__Ledger *l, BH__LedgerEntry *entry, uint64_t now_us)
 {
 	count_prefill_(l, entry, -1, now_us);
@@ -160,7 +171,9 @@
 	charge_member_(l, entry, now_us);
 }
 
-static GPtrArray *entries_of_(const BH__Ledger *l, uint64_t node_id)
+/* Returns the entries of the grants that a node holds, in no order. The caller frees the array, not the
+ * entries. */
+static GPtrArray *find_entries_of_node_(const BH__Ledger *l, uint64_t node_id)
 {
 	GPtrArray *list = g_ptr_array_new();
 	GHashTableIter it;
@@ -173,50 +186,53 @@
 	return list;
 }
 
-/* A node says which grants it holds. Whole ones rebuild the ledger of a new scheduler; ids alone end those
- * of our grants that the node no longer holds, since its release may have been lost. */
-void bh__ledger_process_hold(BH__Ledger *l, uint64_t node_id, uint64_t boot_id, bool full,
+/* Processes a node's list of the grants that it holds. Complete grants (`is_full`) that the ledger lacks are
+ * added, which rebuilds the ledger of a new scheduler. Either kind of list ends those grants in the ledger
+ * that the node no longer holds, since its release message may have been lost, and those of its earlier
+ * boots. */
+void bh__ledger_process_hold(BH__Ledger *l, uint64_t node_id, uint64_t boot_id, bool is_full,
 							 const BH__Grant *grant, uint32_t count, uint64_t now_us)
 {
 	GHashTable *held = g_hash_table_new(g_int64_hash, g_int64_equal);
-	GPtrArray *mine;
+	GPtrArray *known;
 
 	for (uint32_t i = 0; i < count; i++) {
 		g_hash_table_add(held, (gpointer)&grant[i].grant_id);
-		if (full && !bh__ledger_find(l, grant[i].grant_id) &&
+		if (is_full && !bh__ledger_find(l, grant[i].grant_id) &&
 			!g_hash_table_contains(l->ended, &grant[i].grant_id))
 			bh__ledger_add(l, &grant[i], false, now_us);
 	}
-	mine = entries_of_(l, node_id);
-	for (guint i = 0; i < mine->len; i++) {
-		BH__LedgerEntry *entry = g_ptr_array_index(mine, i);
-		bool same_life = entry->grant.boot_id == boot_id;
-		if (same_life && g_hash_table_contains(held, &entry->grant.grant_id))
+	known = find_entries_of_node_(l, node_id);
+	for (guint i = 0; i < known->len; i++) {
+		BH__LedgerEntry *entry = g_ptr_array_index(known, i);
+		bool same_boot = entry->grant.boot_id == boot_id;
+		if (same_boot && g_hash_table_contains(held, &entry->grant.grant_id))
 			continue;
-		if (!same_life || now_us >= entry->granted_us + HOLD_GRACE_US_)
+		if (!same_boot || now_us >= entry->granted_us + HOLD_GRACE_US_)
 			bh__ledger_end(l, entry, now_us);
 	}
-	g_ptr_array_unref(mine);
+	g_ptr_array_unref(known);
 	g_hash_table_unref(held);
 }
 
-/* A node is gone: ends its grants. What its streams still hold shows in the engines' reports, counts as used
- * until then, and is told as orphaned. */
+/* Ends the grants of a node that is gone. The memory of its streams counts as used until the next reports of
+ * the engines show what is still held; attempts in these reports are orphans. */
 void bh__ledger_process_node_gone(BH__Ledger *l, uint64_t node_id, uint64_t now_us)
 {
-	GPtrArray *gone = entries_of_(l, node_id);
+	GPtrArray *gone = find_entries_of_node_(l, node_id);
 
 	for (guint i = 0; i < gone->len; i++) {
 		BH__LedgerEntry *entry = g_ptr_array_index(gone, i);
 		uint64_t id = entry->grant.grant_id;
-		count_as_foreign_(l, &entry->grant);
+		count_as_unaccounted_(l, &entry->grant);
 		bh__ledger_end(l, entry, now_us);
-		g_hash_table_remove(l->ended, &id); /* so that reports show it as foreign */
+		g_hash_table_remove(l->ended, &id); /* so that reports of its attempt count as unaccounted */
 	}
 	g_ptr_array_unref(gone);
 }
 
-static void count_as_foreign_(BH__Ledger *l, const BH__Grant *g)
+/* Adds the memory of a grant to the unaccounted bytes of its engines. */
+static void count_as_unaccounted_(BH__Ledger *l, const BH__Grant *g)
 {
 	for (unsigned i = 0; i < g->member_count; i++) {
 		BH__Engine *e = bh__engines_find(l->engines, g->member[i].endpoint_id);
@@ -225,7 +241,8 @@
 	}
 }
 
-/* Compares an engine's attempts with the ledger. */
+/* Compares the attempts in an engine's report with the ledger: sets the engine's unaccounted bytes to the
+ * memory of those without a grant, which are orphans. */
 void bh__ledger_process_report(BH__Ledger *l, BH__Engine *e, const BH__LoadReport *r, uint64_t now_us)
 {
 	e->kv_foreign_bytes = 0;
@@ -234,12 +251,14 @@
 		if (bh__ledger_find(l, a->attempt_id) || g_hash_table_contains(l->ended, &a->attempt_id))
 			continue;
 		e->kv_foreign_bytes += a->kv_bytes;
-		note_orphan_(l, e, a, now_us);
+		process_orphan_(l, e, a, now_us);
 	}
 }
 
-/* Tells of an attempt that is unknown for a while: its owner, if it lives, decides what becomes of it. */
-static void note_orphan_(BH__Ledger *l, const BH__Engine *e, const BH__ReportedAttempt *a, uint64_t now_us)
+/* Records an attempt that no grant accounts for. Calls the orphan callback once the attempt is older than
+ * ORPHAN_GRACE_US_, and again at that interval: the owner of the attempt, if alive, decides what to do with
+ * it. */
+static void process_orphan_(BH__Ledger *l, const BH__Engine *e, const BH__ReportedAttempt *a, uint64_t now_us)
 {
 	uint64_t key = bh__hash_pair(a->attempt_id, e->spec.endpoint_id);
 	Orphan_ *o = g_hash_table_lookup(l->orphans, &key);
@@ -251,13 +270,14 @@
 		g_hash_table_insert(l->orphans, &o->key, o);
 	}
 	o->last_seen_us = now_us;
-	if (now_us < o->first_seen_us + ORPHAN_GRACE_US_ || now_us < o->told_us + ORPHAN_GRACE_US_)
+	if (now_us < o->first_seen_us + ORPHAN_GRACE_US_ || now_us < o->notified_us + ORPHAN_GRACE_US_)
 		return;
-	o->told_us = now_us;
+	o->notified_us = now_us;
 	l->orphan(l->ctx, e->spec.endpoint_id, a);
 }
 
-static void forget_ended_(BH__Ledger *l, uint64_t now_us)
+/* Removes the records of grants that ended at least ENDED_KEPT_US_ ago. */
+static void remove_old_ended_(BH__Ledger *l, uint64_t now_us)
 {
 	for (;;) {
 		Ended_ *ended = g_queue_peek_head(&l->ended_order);
@@ -270,14 +290,17 @@
 	}
 }
 
+/* Returns true if an orphan was not reported for more than ORPHAN_EXPIRY_US_. `now_us` points to a uint64_t.
+ */
 static gboolean is_old_orphan_(gpointer key, gpointer value, gpointer now_us)
 {
 	(void)key;
-	return ((const Orphan_ *)value)->last_seen_us + ORPHAN_FORGET_US_ < *(const uint64_t *)now_us;
+	return ((const Orphan_ *)value)->last_seen_us + ORPHAN_EXPIRY_US_ < *(const uint64_t *)now_us;
 }
 
+/* Removes records of ended grants and of orphans that are too old to matter. */
 void bh__ledger_process_tick(BH__Ledger *l, uint64_t now_us)
 {
-	forget_ended_(l, now_us);
+	remove_old_ended_(l, now_us);
 	g_hash_table_foreach_remove(l->orphans, is_old_orphan_, &now_us);
 }
--- a/src/libbayhoist/once.c
+++ b/src/libbayhoist/once.c
@@ -1,8 +1,8 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The table of not-repeatable requests. Its memory is bounded: when the oldest outcome is forgotten, the
- * low-water mark rises to its stamp, and any request with a stamp at or below the mark that the table does
- * not know is answered "may have run". The idea is that of a timestamp cache with a low-water mark, where a
- * new holder treats everything earlier as touched (see docs/design/at-most-once.md for the source). */
+/* The table of requests that must not run twice. Its memory is bounded: when the oldest outcome is evicted,
+ * the low-water mark rises to the sequence of its stamp. A request that has no entry and whose stamp is at or
+ * below the mark is answered "may have run". The design is that of a timestamp cache with a low-water mark,
+ * whose new holder treats everything earlier as accessed (docs/design/at-most-once.md names the source). */
 #include "bayhoist/once.h"
 
 #include <glib.h>
@@ -12,31 +12,33 @@
 
 const char *const BH__OnceStateString[] = {"run", "running", "finished", "other", "forgotten", "elsewhere"};
 
+/* One request, running or finished. */
 typedef struct {
-	uint64_t id; /* of account and key */
+	uint64_t id; /* hash of account and key */
 	uint64_t body_hash;
-	uint64_t sequence; /* of the stamp it came with */
+	uint64_t sequence; /* of the stamp that the request carried */
 	bool running;
 	BH__OnceOutcome outcome;
-	char *answer;
-	GList link; /* in `finished` */
+	char *answer; /* owned copy; NULL if none is kept */
+	GList link;   /* in `finished`, once the request has ended */
 } Entry_;
 
 struct BH__Once {
 	uint32_t max_entries;
 	size_t max_answer_bytes;
-	size_t answer_bytes;
-	uint64_t issued;
-	uint64_t low_water;
-	GHashTable *entries;
-	GQueue finished; /* oldest first */
+	size_t answer_bytes;    /* held by all entries together */
+	uint64_t last_issued;   /* sequence of the latest stamp; 0: none */
+	uint64_t low_watermark; /* highest sequence of an evicted entry; 0: none */
+	GHashTable *entries;    /* Entry_ by id */
+	GQueue finished;        /* Entry_ links, first finished first */
 };
 
 static void free_entry_(gpointer entry);
-static void forget_(BH__Once *o, Entry_ *e);
-static void forget_oldest_(BH__Once *o);
+static void remove_(BH__Once *o, Entry_ *e);
+static void evict_oldest_(BH__Once *o);
 
-/* Returns a table that remembers up to `max_entries` outcomes and `max_answer_bytes` of answers. */
+/* Returns an empty table that keeps up to `max_entries` entries and `max_answer_bytes` of answers. The caller
+ * frees it with bh__once_delete(). */
 BH__Once *bh__once_new(uint32_t max_entries, size_t max_answer_bytes)
 {
 	BH__Once *o = g_new0(BH__Once, 1);
@@ -47,6 +49,7 @@
 	return o;
 }
 
+/* Frees an entry of the hash table with its answer. */
 static void free_entry_(gpointer entry)
 {
 	Entry_ *e = entry;
@@ -54,20 +57,22 @@
 	g_free(e);
 }
 
+/* Frees the table and its entries. */
 void bh__once_delete(BH__Once *o)
 {
 	g_hash_table_unref(o->entries);
 	g_free(o);
 }
 
-/* Returns the sequence of a new stamp. */
+/* Issues a stamp and returns its sequence, which is above all that this table has issued. */
 uint64_t bh__once_issue(BH__Once *o)
 {
-	return ++o->issued;
+	return ++o->last_issued;
 }
 
-/* Claims a key for an account. With BH__ONCE_RUN the caller must run the request and call
- * bh__once_finish() with `entry_id`; with BH__ONCE_FINISHED `outcome` is set, valid until the next call. */
+/* Claims an idempotency key for an account and returns the state of the request. On BH__ONCE_RUN the caller
+ * must run the request and then call bh__once_finish() with `*entry_id`. On BH__ONCE_FINISHED `*outcome` is
+ * set and is valid until the next call. */
 BH__OnceState bh__once_claim(BH__Once *o, uint64_t account_id, const char *key, uint64_t body_hash,
 							 uint64_t sequence, uint64_t *entry_id, BH__OnceOutcome *outcome)
 {
@@ -82,9 +87,9 @@
 		*outcome = e->outcome;
 		return BH__ONCE_FINISHED;
 	}
-	if (sequence <= o->low_water)
+	if (sequence <= o->low_watermark)
 		return BH__ONCE_FORGOTTEN;
-	if (sequence > o->issued) /* never issued in this life */
+	if (sequence > o->last_issued) /* not issued by this boot */
 		return BH__ONCE_ELSEWHERE;
 	e = g_new0(Entry_, 1);
 	e->id = id;
@@ -97,7 +102,9 @@
 	return BH__ONCE_RUN;
 }
 
-/* Records how a claimed request ended. One that was not run may be claimed again. */
+/* Records the outcome of a claimed request and evicts the oldest outcomes until the table is within its
+ * bounds. A request that did not run loses its entry, so that its key can be claimed again. An answer above a
+ * sixteenth of the table's bytes for answers is not kept. */
 void bh__once_finish(BH__Once *o, uint64_t entry_id, const BH__OnceOutcome *outcome)
 {
 	Entry_ *e = g_hash_table_lookup(o->entries, &entry_id);
@@ -121,37 +128,43 @@
 	g_queue_push_tail_link(&o->finished, &e->link);
 	while (o->answer_bytes > o->max_answer_bytes || g_hash_table_size(o->entries) > o->max_entries) {
 		if (!o->finished.length)
-			break; /* all run: they are bounded by the node's limit on live requests */
-		forget_oldest_(o);
+			break; /* all entries are running: the node's limit on live requests bounds them */
+		evict_oldest_(o);
 	}
 }
 
-static void forget_oldest_(BH__Once *o)
+/* Removes the outcome that was recorded first and raises the low-water mark to its sequence. */
+static void evict_oldest_(BH__Once *o)
 {
 	Entry_ *e = o->finished.head->data;
 
-	o->low_water = MAX(o->low_water, e->sequence);
-	forget_(o, e);
+	o->low_watermark = MAX(o->low_watermark, e->sequence);
+	remove_(o, e);
 }
 
-static void forget_(BH__Once *o, Entry_ *e)
+/* Removes a finished entry and frees it. */
+static void remove_(BH__Once *o, Entry_ *e)
 {
 	g_queue_unlink(&o->finished, &e->link);
 	o->answer_bytes -= e->outcome.answer_len;
 	g_hash_table_remove(o->entries, &e->id);
 }
 
+/* Returns the highest sequence of an evicted entry, or 0 if none was evicted. */
 uint64_t bh__once_get_low_water(const BH__Once *o)
 {
-	return o->low_water;
+	return o->low_watermark;
 }
 
+/* Returns the number of entries, running ones included. */
 uint32_t bh__once_get_count(const BH__Once *o)
 {
 	return g_hash_table_size(o->entries);
 }
 
-/* Reads "node-boot-sequence" in hex. */
+/* Parses a stamp of the form "node-boot-sequence", all in hexadecimal. Returns false if `text` has another
+ * form;
+ * `*stamp` is then undefined. */
 bool bh__stamp_parse(const char *text, BH__Stamp *stamp)
 {
 	int used = 0;
@@ -162,6 +175,7 @@
 		   text[used] == '\0';
 }
 
+/* Writes a stamp in the form that bh__stamp_parse() reads. */
 void bh__stamp_write(const BH__Stamp *stamp, char out[BH__STAMP_LEN])
 {
 	g_snprintf(out, BH__STAMP_LEN,
