--- a/include/bayhoist/caller_time.h
+++ b/include/bayhoist/caller_time.h
@@ -1,18 +1,19 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* How long a caller has waited before this try of its request. Callers say how much longer they will wait,
- * and those of a route begin with the same time; one that comes back has less left. */
+/* Estimates how long a caller has already waited when its request arrives. Each request carries the time that
+ * its caller will still wait. The callers of a route start with the same time, so that one with less time
+ * left is a caller retry. */
 #ifndef BAYHOIST_CALLER_TIME_H
 #define BAYHOIST_CALLER_TIME_H
 
 #include "bayhoist/types.h"
 
-/* The time that the callers of one route begin with, as seen. */
+/* The time that the callers of one route start with, as observed. */
 typedef struct {
-	uint64_t whole_us;   /* the time that callers begin with; 0: not known */
-	uint64_t largest_us; /* of those below it, since it was set */
-	unsigned whole;      /* callers lately that had about this much */
-	unsigned all;        /* callers lately */
-	bool trusted;        /* most callers begin with the whole time */
+	uint64_t initial_us;    /* the time that callers start with; 0: not known */
+	uint64_t next_lower_us; /* longest time left seen below it since it was set; 0: none */
+	unsigned initial_count; /* recent requests with about this time left */
+	unsigned request_count; /* recent requests */
+	bool trusted;           /* enough of the recent requests had the initial time left */
 } BH__CallerTime;
 
 void bh__caller_time_init(BH__CallerTime *t, uint64_t timeout_us);
--- a/include/bayhoist/event_stream.h
+++ b/include/bayhoist/event_stream.h
@@ -1,6 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Server-sent events as they come from an endpoint: finds where whole events end, so that only whole ones are
- * passed on, and follows their ids, so that a stream can go on elsewhere without a gap or a repeat. */
+/* Server-sent events received from an endpoint. Finds the ends of events, so that only complete ones are
+ * relayed, and tracks their ids, so that a stream can resume at another endpoint without a gap or a
+ * duplicate. */
 #ifndef BAYHOIST_EVENT_STREAM_H
 #define BAYHOIST_EVENT_STREAM_H
 
@@ -8,18 +9,19 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define BH__EVENT_ID_LEN 64 /* longest event id that a stream can go on from, with its terminator */
+#define BH__EVENT_ID_LEN 64 /* size of the longest id that a stream can resume from, with the NUL */
 
+/* State of one stream; all zero at its start. */
 typedef struct {
-	char last_id[BH__EVENT_ID_LEN]; /* of the last event that was passed on; empty: none had one */
-	uint64_t events;                /* passed on so far */
+	char last_id[BH__EVENT_ID_LEN]; /* id of the last event with one that was relayed; empty: none */
+	uint64_t events;                /* number of events relayed so far */
 } BH__EventStream;
 
-/* What becomes of the event at the start of a buffer. */
+/* What to do with the event at the start of a buffer. */
 typedef enum {
-	BH__EVENT_INCOMPLETE, /* its end has not come */
-	BH__EVENT_NEXT,       /* to be passed on */
-	BH__EVENT_SEEN        /* not later than the last one that was passed on: to be dropped */
+	BH__EVENT_INCOMPLETE, /* wait for more data: its end is not in the buffer */
+	BH__EVENT_NEXT,       /* relay it */
+	BH__EVENT_SEEN        /* drop it: its id is not later than that of the last event relayed */
 } BH__EventState;
 
 BH__EventState bh__event_stream_take(BH__EventStream *s, const char *data, size_t len, size_t *event_len);
--- a/src/libbayhoist/duty.c
+++ b/src/libbayhoist/duty.c
@@ -1,18 +1,18 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The pools that this node schedules. Which node schedules a pool follows from membership alone; a node that
- * believes wrongly for a while does no harm, since engines refuse what does not fit and attempts of another
- * scheduler show in their reports. */
+/* The pools that this node schedules. The members alone determine which node schedules a pool. A node whose
+ * local view of them is wrong for a while does no harm: engines refuse what does not fit, and their reports
+ * show the attempts of another scheduler. */
 #include "node_internal.h"
 
 #include <string.h>
 #include "bayhoist/hash.h"
 
-#define POLL_US_ (250 * BH__MS_US)
-#define LIST_US_ (2 * BH__SECOND_US) /* between lists of attempts */
-#define DIGEST_US_ (100 * BH__MS_US)
-#define SERVICE_KV_BYTES_ (UINT64_C(1) << 40)
+#define POLL_PERIOD_US_ (250 * BH__MS_US)       /* between load reports of an engine */
+#define ATTEMPTS_PERIOD_US_ (2 * BH__SECOND_US) /* between load reports with a list of attempts */
+#define DIGEST_PERIOD_US_ (100 * BH__MS_US)
+#define SERVICE_KV_BYTES_ (UINT64_C(1) << 40) /* memory assumed for an endpoint of a plain service */
 
-static void take_up_(BH__Node *n, BH__Route *route);
+static void start_duty_(BH__Node *n, BH__Route *route);
 static void add_adapters_(const BH__Node *n, const BH__Resource *endpoint, BH__PoolEndpoint *pe);
 static void poll_(BH__Node *n, BH__Duty *d);
 static void report_service_(BH__Duty *d, uint64_t endpoint_id, uint64_t now_us);
@@ -20,8 +20,9 @@
 static void on_refuse_(BH__PoolPort *port, const BH__Ask *ask, BH__Reason reason, uint64_t retry_after_ms);
 static void on_orphan_(BH__PoolPort *port, uint64_t endpoint_id, uint64_t attempt_id, uint64_t owner_node,
 					   uint64_t owner_boot);
-static BH__Node *of_pool_port_(BH__PoolPort *port);
+static BH__Node *get_node_(BH__PoolPort *port);
 
+/* Sets the callbacks by which the pools of this node send their decisions. */
 void bh__duties_init_port(BH__Node *n)
 {
 	n->pool_port.grant = on_grant_;
@@ -29,16 +30,19 @@
 	n->pool_port.orphan = on_orphan_;
 }
 
-static BH__Node *of_pool_port_(BH__PoolPort *port)
+/* Returns the node that a pool port is a field of. */
+static BH__Node *get_node_(BH__PoolPort *port)
 {
 	return (BH__Node *)(void *)((char *)port - offsetof(BH__Node, pool_port));
 }
 
+/* Returns this node's duty for a pool, or NULL if another node schedules it. */
 BH__Duty *bh__duties_find(const BH__Node *n, uint64_t pool_id)
 {
 	return g_hash_table_lookup(n->duties, &pool_id);
 }
 
+/* Frees a duty and its pool. */
 void bh__duties_free(gpointer duty)
 {
 	BH__Duty *d = duty;
@@ -46,7 +50,9 @@
 	g_free(d);
 }
 
-/* Takes up and gives up pools as membership and configuration say. */
+/* Applies a change of members or configuration: starts scheduling the pools that are now this node's, stops
+ * scheduling those that no longer are, whose waiting requests it refuses, and reloads the endpoints of the
+ * others. */
 void bh__duties_follow(BH__Node *n)
 {
 	for (unsigned i = 0; i < bh__routes_get_count(n->routes); i++) {
@@ -54,7 +60,7 @@
 		bool mine = bh__route_get_scheduler(route, n->members) == n->options.self.node_id;
 		BH__Duty *d = bh__duties_find(n, route->pool_id);
 		if (mine && !d) {
-			take_up_(n, route);
+			start_duty_(n, route);
 		}
 		else if (!mine && d) {
 			bh__node_event(n, BH__EVENT_DUTY, 0, 0, route->hall, "give-up", 0);
@@ -67,7 +73,8 @@
 	}
 }
 
-static void take_up_(BH__Node *n, BH__Route *route)
+/* Starts to schedule the pool of a route, and polls its engines at once. */
+static void start_duty_(BH__Node *n, BH__Route *route)
 {
 	BH__Duty *d = g_new0(BH__Duty, 1);
 
@@ -75,12 +82,12 @@
 	d->pool = bh__pool_new(&n->pool_port, d->pool_id, bh__node_new_id(n), g_rand_int(n->rand));
 	g_hash_table_insert(n->duties, &d->pool_id, d);
 	bh__node_event(n, BH__EVENT_DUTY, 0, 0, route->hall, "take-up", 0);
-	route->held_to_boot = 0; /* our own grants are told to the new pool */
+	route->held_to_boot = 0; /* so that the new pool is notified of this node's own grants */
 	bh__duties_load_endpoints(n, d);
 	poll_(n, d);
 }
 
-/* Sets a pool's endpoints to those of the configuration and the VM list. */
+/* Sets the policy of a duty's pool, and its endpoints to those of the configuration and the VM list. */
 void bh__duties_load_endpoints(BH__Node *n, BH__Duty *d)
 {
 	const BH__Catalog *c = bh__config_get_catalog(n->config);
@@ -107,7 +114,8 @@
 	}
 }
 
-/* Fills in the adapters that an endpoint holds, of those that it should. */
+/* Adds to `pe` those of the endpoint's configured adapters that it reports as loaded, BH__ADAPTERS_MAX at
+ * most. */
 static void add_adapters_(const BH__Node *n, const BH__Resource *endpoint, BH__PoolEndpoint *pe)
 {
 	const char *const *loaded = bh__orders_get_loaded(n, endpoint->id);
@@ -117,6 +125,7 @@
 			pe->adapter[pe->adapter_count++] = bh__hash_name(*a);
 }
 
+/* Runs the timers of the duties: the pools' own, the polls of engines and the digests of pools. */
 void bh__duties_process_tick(BH__Node *n)
 {
 	GHashTableIter it;
@@ -130,7 +139,7 @@
 			poll_(n, d);
 		if (n->now_us >= d->next_digest_us) {
 			BH__PoolDigest digest;
-			d->next_digest_us = n->now_us + DIGEST_US_;
+			d->next_digest_us = n->now_us + DIGEST_PERIOD_US_;
 			bh__pool_get_digest(d->pool, &digest, n->now_us);
 			digest.node_id = n->options.self.node_id;
 			bh__routes_take_digest(n->routes, &digest, n->now_us);
@@ -138,8 +147,9 @@
 	}
 }
 
-/* Asks the pool's engines for their load. Plain services have no report: they count as there until a call
- * fails, and again a poll later. */
+/* Requests load reports from the engines of a pool, every ATTEMPTS_PERIOD_US_ with their attempts. Endpoints
+ * of plain services have no load report: they count as reachable until a call fails, and again from the next
+ * poll. */
 static void poll_(BH__Node *n, BH__Duty *d)
 {
 	const BH__Catalog *c = bh__config_get_catalog(n->config);
@@ -147,9 +157,9 @@
 
 	bool with_attempts = n->now_us >= d->next_list_us;
 
-	d->next_poll_us = n->now_us + POLL_US_;
+	d->next_poll_us = n->now_us + POLL_PERIOD_US_;
 	if (with_attempts)
-		d->next_list_us = n->now_us + LIST_US_;
+		d->next_list_us = n->now_us + ATTEMPTS_PERIOD_US_;
 	for (guint i = 0; i < all->len; i++) {
 		const BH__Resource *r = g_ptr_array_index(all, i);
 		const BH__Resource *model;
@@ -164,6 +174,8 @@
 	}
 }
 
+/* Gives the pool a made-up load report of a plain service's endpoint: reachable, without attempts, and with
+ * memory and speed that never limit it. */
 static void report_service_(BH__Duty *d, uint64_t endpoint_id, uint64_t now_us)
 {
 	BH__LoadReport report = {.endpoint_id = endpoint_id,
@@ -175,13 +187,15 @@
 	bh__pool_process_report(d->pool, &report, now_us);
 }
 
+/* Sends a grant to the node that asked for it. */
 static void on_grant_(BH__PoolPort *port, const BH__Grant *g)
 {
 	BH__Message m = {.type = BH__MESSAGE_GRANT};
 	m.as.grant = *g;
-	bh__node_send(of_pool_port_(port), g->node_id, &m);
+	bh__node_send(get_node_(port), g->node_id, &m);
 }
 
+/* Sends a refusal to the node whose admission request it answers. */
 static void on_refuse_(BH__PoolPort *port, const BH__Ask *ask, BH__Reason reason, uint64_t retry_after_ms)
 {
 	BH__Message m = {.type = BH__MESSAGE_REFUSE};
@@ -189,15 +203,15 @@
 	m.as.refuse.pool_id = ask->pool_id;
 	m.as.refuse.reason = reason;
 	m.as.refuse.retry_after_ms = retry_after_ms;
-	bh__node_send(of_pool_port_(port), ask->node_id, &m);
+	bh__node_send(get_node_(port), ask->node_id, &m);
 }
 
-/* Memory is held for an attempt that no ledger knows. Its owner knows best; if that life is over, nobody
- * wants the answer. */
+/* Processes an attempt that holds engine memory without a grant. Its owner decides what to do with it; if
+ * that boot of the owner is over, nobody waits for the answer, and the attempt is cancelled. */
 static void on_orphan_(BH__PoolPort *port, uint64_t endpoint_id, uint64_t attempt_id, uint64_t owner_node,
 					   uint64_t owner_boot)
 {
-	BH__Node *n = of_pool_port_(port);
+	BH__Node *n = get_node_(port);
 	const BH__MemberInfo *owner = bh__members_find(n->members, owner_node);
 	BH__Message m = {.type = BH__MESSAGE_ORPHAN};
 
@@ -210,7 +224,7 @@
 	bh__node_send(n, owner_node, &m);
 }
 
-/* Frees memory that an endpoint holds for an attempt which nobody wants. */
+/* Cancels an orphaned attempt at its endpoint, which frees the memory that it holds. */
 void bh__duties_process_orphan(BH__Node *n, uint64_t endpoint_id, uint64_t attempt_id)
 {
 	n->counters.orphans_cancelled++;
--- a/src/libbayhoist/event_stream.c
+++ b/src/libbayhoist/event_stream.c
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Reading of server-sent events, as far as their ids go (HTML Living Standard, "Server-sent events"). */
+/* Parses server-sent events (HTML Living Standard, "Server-sent events") for their ends and ids only. */
 #include "bayhoist/event_stream.h"
 
 #include <ctype.h>
@@ -11,10 +11,11 @@
 static size_t find_end_(const char *data, size_t len);
 static bool find_id_(const char *event, size_t len, char out[BH__EVENT_ID_LEN]);
 static bool is_number_(const char *text);
-static bool was_seen_(const BH__EventStream *s, const char *id);
+static bool is_duplicate_(const BH__EventStream *s, const char *id);
 
-/* Looks at the event that `data` begins with; `*event_len` is its length with the blank line that ends it. An
- * event that is to be passed on is noted as the last one. */
+/* Parses the event at the start of `data`. Sets `*event_len` to its length in bytes with the blank line that
+ * ends it, or to 0 if it is incomplete. For BH__EVENT_NEXT, counts the event and records its id as the last
+ * one. */
 BH__EventState bh__event_stream_take(BH__EventStream *s, const char *data, size_t len, size_t *event_len)
 {
 	char id[BH__EVENT_ID_LEN];
@@ -23,7 +24,7 @@
 	if (!*event_len)
 		return BH__EVENT_INCOMPLETE;
 	if (find_id_(data, *event_len, id)) {
-		if (was_seen_(s, id))
+		if (is_duplicate_(s, id))
 			return BH__EVENT_SEEN;
 		memcpy(s->last_id, id, sizeof id);
 	}
@@ -31,7 +32,8 @@
 	return BH__EVENT_NEXT;
 }
 
-/* Returns the length of the first event with the blank line after it, or 0. Lines end in LF or CR LF. */
+/* Returns the length of the first event with the blank line that ends it, or 0 if that is not in `data`.
+ * Lines end in LF or CR LF. */
 static size_t find_end_(const char *data, size_t len)
 {
 	const char *line = data;
@@ -48,7 +50,8 @@
 	return 0;
 }
 
-/* Finds the event's id, without blanks around it. */
+/* Copies the event's id to `out`, without white space around it. Returns false if the event has none or it
+ * does not fit. */
 static bool find_id_(const char *event, size_t len, char out[BH__EVENT_ID_LEN])
 {
 	const char *line = event;
@@ -74,6 +77,7 @@
 	return false;
 }
 
+/* Returns true if `text` consists of decimal digits, at least one. */
 static bool is_number_(const char *text)
 {
 	for (const char *c = text; *c; c++)
@@ -82,8 +86,9 @@
 	return *text != '\0';
 }
 
-/* Ids that are numbers rise; others are only compared with the last. */
-static bool was_seen_(const BH__EventStream *s, const char *id)
+/* Returns true if an event with this id was relayed before. Numeric ids increase, so that all up to the last
+ * one were; other ids are only compared with the last one. */
+static bool is_duplicate_(const BH__EventStream *s, const char *id)
 {
 	if (!s->last_id[0])
 		return false;
--- a/src/libbayhoist/ledger.c
+++ b/src/libbayhoist/ledger.c
@@ -4,11 +4,9 @@
 #include "ledger.h"
 
 #define ENDED_KEPT_US_ (3 * BH__SECOND_US)   /* reports lag: an attempt that has ended may still be in one */
-#define ORPHAN_GRACE_US_ (3 * BH__SECOND_US) /* before the first notification of an orphan, and between two  \
-											  */
-#define ORPHAN_EXPIRY_US_                                                                                    \
-	(10 * BH__SECOND_US)                   /* an orphan that is no longer reported is removed after this */
-#define HOLD_GRACE_US_ (2 * BH__SECOND_US) /* a new grant may be missing from a hold message this long */
+#define ORPHAN_GRACE_US_ (3 * BH__SECOND_US) /* before an orphan's first notification and between two */
+#define ORPHAN_EXPIRY_US_ (10 * BH__SECOND_US) /* an orphan not reported for longer is removed */
+#define HOLD_GRACE_US_ (2 * BH__SECOND_US)     /* a new grant may be missing from a hold message this long */
 
 /* An attempt on an engine that no grant accounts for. */
 typedef struct {
