--- a/include/bayhoist/answer_time.h
+++ b/include/bayhoist/answer_time.h
@@ -14,7 +14,7 @@
 	double deviation; /* mean absolute deviation of these ratios */
 } BH__AnswerTime;
 
-void bh__answer_time_note(BH__AnswerTime *t, uint64_t took_us, uint64_t expected_us);
-uint64_t bh__answer_time_get_longest_us(const BH__AnswerTime *t, uint64_t expected_us);
+void bh__answer_time_record(BH__AnswerTime *t, uint64_t took_us, uint64_t expected_us);
+uint64_t bh__answer_time_get_upper_bound_us(const BH__AnswerTime *t, uint64_t expected_us);
 
 #endif
--- a/include/bayhoist/caller_time.h
+++ b/include/bayhoist/caller_time.h
@@ -17,6 +17,6 @@
 } BH__CallerTime;
 
 void bh__caller_time_init(BH__CallerTime *t, uint64_t timeout_us);
-uint64_t bh__caller_time_note(BH__CallerTime *t, uint64_t left_us);
+uint64_t bh__caller_time_record(BH__CallerTime *t, uint64_t left_us);
 
 #endif
--- a/include/bayhoist/event_stream.h
+++ b/include/bayhoist/event_stream.h
@@ -20,10 +20,10 @@
 /* What to do with the event at the start of a buffer. */
 typedef enum {
 	BH__EVENT_INCOMPLETE, /* wait for more data: its end is not in the buffer */
-	BH__EVENT_NEXT,       /* relay it */
-	BH__EVENT_SEEN        /* drop it: its id is not later than that of the last event relayed */
+	BH__EVENT_RELAY,      /* relay it */
+	BH__EVENT_DUPLICATE   /* drop it: its id is not later than that of the last event relayed */
 } BH__EventState;
 
-BH__EventState bh__event_stream_take(BH__EventStream *s, const char *data, size_t len, size_t *event_len);
+BH__EventState bh__event_stream_parse(BH__EventStream *s, const char *data, size_t len, size_t *event_len);
 
 #endif
--- a/include/bayhoist/node.h
+++ b/include/bayhoist/node.h
@@ -10,7 +10,7 @@
 #include "bayhoist/event.h"
 #include "bayhoist/histogram.h"
 #include "bayhoist/members.h"
-#include "bayhoist/once.h"
+#include "bayhoist/idempotency.h"
 #include "bayhoist/pool.h"
 #include "bayhoist/store.h"
 
--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -172,7 +172,7 @@
 		time_us = r->meta.time_left_us;
 	bh__retry_state_init(&c->x, c->rule, r->arrived_us + time_us);
 	if (r->meta.time_left_us)
-		c->waited_before_us = bh__caller_time_note(&route_times_(c)->caller, r->meta.time_left_us);
+		c->waited_before_us = bh__caller_time_record(&route_times_(c)->caller, r->meta.time_left_us);
 	c->fingerprint = fingerprint_(c);
 	bh__fingerprint_write(&c->fingerprint, fingerprint);
 	log_event(
@@ -436,7 +436,7 @@
  * by when one counts as silent, and by what its engine takes for as many tokens as the caller allows. */
 static uint64_t longest_answer_us_(const Call *c)
 {
-	uint64_t seen_us = bh__answer_time_get_longest_us(answer_time_(c), expected_answer_us_(c));
+	uint64_t seen_us = bh__answer_time_get_upper_bound_us(answer_time_(c), expected_answer_us_(c));
 
 	if (seen_us)
 		return seen_us;
@@ -744,7 +744,7 @@
 	g->counters.outcomes[outcome]++;
 	if (outcome == CALL_SERVED) {
 		bh__histogram_add(&g->counters.whole, now_us - c->request->arrived_us);
-		bh__answer_time_note(answer_time_(c), now_us - c->sent_us, expected_answer_us_(c));
+		bh__answer_time_record(answer_time_(c), now_us - c->sent_us, expected_answer_us_(c));
 	}
 	log_event("end",
 			  "request=%s route=%s outcome=%s status=%d state=%s sendings=%u may_have_run=%s "
--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/sending.c
@@ -241,9 +241,9 @@
 	size_t event_len;
 	BH__EventState state;
 
-	while ((state = bh__event_stream_take(&c->events, data + done, len - done, &event_len)) !=
+	while ((state = bh__event_stream_parse(&c->events, data + done, len - done, &event_len)) !=
 		   BH__EVENT_INCOMPLETE) {
-		if (state == BH__EVENT_NEXT)
+		if (state == BH__EVENT_RELAY)
 			pass_on_(c, data + done, event_len);
 		done += event_len;
 	}
--- a/src/bench/bench_core.c
+++ b/src/bench/bench_core.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <sysexits.h>
-#include "bayhoist/once.h"
+#include "bayhoist/idempotency.h"
 #include "bayhoist/pool.h"
 #include "clock.h"
 #include "frame.h"
@@ -181,9 +181,9 @@
 /* Times the table of not-repeatable requests: a claim and its outcome. */
 static void run_once_(void)
 {
-	BH__Once *o = bh__once_new(ONCE_ENTRIES, 1 << 20);
-	BH__OnceOutcome ran = {.verdict = BH__VERDICT_RAN};
-	BH__OnceOutcome known;
+	BH__IdempotencyTable *o = bh__idempotency_new(ONCE_ENTRIES, 1 << 20);
+	BH__IdempotencyOutcome ran = {.verdict = BH__VERDICT_RAN};
+	BH__IdempotencyOutcome known;
 	uint64_t started_us = clock_now_us();
 	double seconds;
 
@@ -191,13 +191,14 @@
 		char key[24];
 		uint64_t entry;
 		g_snprintf(key, sizeof key, "offer-%u", i);
-		if (bh__once_claim(o, 1, key, i, bh__once_issue(o), &entry, &known) == BH__ONCE_RUN)
-			bh__once_finish(o, entry, &ran);
+		if (bh__idempotency_claim(o, 1, key, i, bh__idempotency_issue(o), &entry, &known) ==
+			BH__IDEMPOTENCY_RUN)
+			bh__idempotency_finish(o, entry, &ran);
 	}
 	seconds = (double)(clock_now_us() - started_us) / 1e6;
 	printf("once=stamp claims_per_s=%.0f store_writes=0 remembered=%u low_water=%" G_GUINT64_FORMAT "\n",
-		   DECISIONS / seconds, bh__once_get_count(o), bh__once_get_low_water(o));
-	bh__once_delete(o);
+		   DECISIONS / seconds, bh__idempotency_get_count(o), bh__idempotency_get_low_watermark(o));
+	bh__idempotency_delete(o);
 }
 
 int main(void)
--- a/src/libbayhoist/admission.c
+++ b/src/libbayhoist/admission.c
@@ -115,10 +115,10 @@
 /* Releases a claimed idempotency key of a request that is not run after all; 0: no key was claimed. */
 static void release_key_(BH__Node *n, uint64_t idempotency_entry)
 {
-	BH__OnceOutcome not_run = {.verdict = BH__VERDICT_NOT_RUN};
+	BH__IdempotencyOutcome not_run = {.verdict = BH__VERDICT_NOT_RUN};
 
 	if (idempotency_entry)
-		bh__once_finish(n->idempotency_table, idempotency_entry, &not_run);
+		bh__idempotency_finish(n->idempotency_table, idempotency_entry, &not_run);
 }
 
 /* Checks the model, the adapter and the prompt length. Returns the model, or NULL with `out` filled in. */
@@ -157,7 +157,7 @@
 static bool claim_key_(BH__Node *n, const BH__Request *r, BH__AdmissionResult *out, uint64_t *entry)
 {
 	BH__Stamp stamp;
-	BH__OnceOutcome known;
+	BH__IdempotencyOutcome known;
 	const BH__MemberInfo *self = bh__members_get_self(n->members);
 
 	if (!r->stamp || !bh__stamp_parse(r->stamp, &stamp))
@@ -165,25 +165,25 @@
 					   "a request with an idempotency key needs the stamp that the answer to \"where\" gave");
 	if (stamp.node_id != self->node_id || stamp.boot_id != self->boot_id)
 		return forward_to_stamp_node_(n, &stamp, out);
-	switch (bh__once_claim(n->idempotency_table, r->account_id, r->key, r->body_hash, stamp.sequence, entry,
-						   &known)) {
-	case BH__ONCE_RUN:
+	switch (bh__idempotency_claim(n->idempotency_table, r->account_id, r->key, r->body_hash, stamp.sequence,
+								  entry, &known)) {
+	case BH__IDEMPOTENCY_RUN:
 		return true;
-	case BH__ONCE_RUNNING:
+	case BH__IDEMPOTENCY_RUNNING:
 		refuse_(out, BH__REASON_KEY_IN_USE, BH__SECOND_US, "a request with this key is running");
 		out->outcome.verdict = BH__VERDICT_MAY_HAVE_RUN;
 		return false;
-	case BH__ONCE_OTHER:
+	case BH__IDEMPOTENCY_KEY_REUSED:
 		return refuse_(out, BH__REASON_BAD_REQUEST, 0, "this key was used for another request");
-	case BH__ONCE_FINISHED:
+	case BH__IDEMPOTENCY_FINISHED:
 		out->admission = BH__ADMIT_REPLAY;
 		out->outcome.verdict = known.verdict;
 		out->outcome.reason = known.reason;
 		out->answer = known.answer;
 		out->answer_len = known.answer_len;
 		return false;
-	case BH__ONCE_FORGOTTEN:
-	case BH__ONCE_ELSEWHERE:
+	case BH__IDEMPOTENCY_EVICTED:
+	case BH__IDEMPOTENCY_FOREIGN_STAMP:
 		break;
 	}
 	refuse_(out, BH__REASON_STAMP_EXPIRED, 0,
--- a/src/libbayhoist/answer_time.c
+++ b/src/libbayhoist/answer_time.c
@@ -10,7 +10,7 @@
 #define DEVIATIONS_ 4          /* between the mean and the bound that few answers exceed */
 
 /* Records an answer that took `took_us` and was expected to take `expected_us`, which is not 0. */
-void bh__answer_time_note(BH__AnswerTime *t, uint64_t took_us, uint64_t expected_us)
+void bh__answer_time_record(BH__AnswerTime *t, uint64_t took_us, uint64_t expected_us)
 {
 	double ratio = (double)took_us / (double)expected_us;
 	double error = ratio - t->mean;
@@ -26,7 +26,7 @@
 
 /* Returns a time, in microseconds, that few answers expected to take `expected_us` exceed, or 0 if no answer
  * was recorded. */
-uint64_t bh__answer_time_get_longest_us(const BH__AnswerTime *t, uint64_t expected_us)
+uint64_t bh__answer_time_get_upper_bound_us(const BH__AnswerTime *t, uint64_t expected_us)
 {
 	return (uint64_t)((t->mean + DEVIATIONS_ * t->deviation) * (double)expected_us);
 }
--- a/src/libbayhoist/caller_time.c
+++ b/src/libbayhoist/caller_time.c
@@ -42,7 +42,7 @@
 /* Records a request whose caller will wait `left_us` longer. Returns how long it has waited already, in
  * microseconds, or 0 if this is its first try or the time that callers start with is not known well enough.
  */
-uint64_t bh__caller_time_note(BH__CallerTime *t, uint64_t left_us)
+uint64_t bh__caller_time_record(BH__CallerTime *t, uint64_t left_us)
 {
 	bool is_initial;
 
--- a/src/libbayhoist/duty.c
+++ b/src/libbayhoist/duty.c
@@ -155,11 +155,11 @@
 	const BH__Catalog *c = bh__config_get_catalog(n->config);
 	const GPtrArray *all = bh__catalog_get_all(c, BH__KIND_ENDPOINT);
 
-	bool with_attempts = n->now_us >= d->next_list_us;
+	bool with_attempts = n->now_us >= d->next_attempts_poll_us;
 
 	d->next_poll_us = n->now_us + POLL_PERIOD_US_;
 	if (with_attempts)
-		d->next_list_us = n->now_us + ATTEMPTS_PERIOD_US_;
+		d->next_attempts_poll_us = n->now_us + ATTEMPTS_PERIOD_US_;
 	for (guint i = 0; i < all->len; i++) {
 		const BH__Resource *r = g_ptr_array_index(all, i);
 		const BH__Resource *model;
--- a/src/libbayhoist/event_stream.c
+++ b/src/libbayhoist/event_stream.c
@@ -14,9 +14,9 @@
 static bool is_duplicate_(const BH__EventStream *s, const char *id);
 
 /* Parses the event at the start of `data`. Sets `*event_len` to its length in bytes with the blank line that
- * ends it, or to 0 if it is incomplete. For BH__EVENT_NEXT, counts the event and records its id as the last
+ * ends it, or to 0 if it is incomplete. For BH__EVENT_RELAY, counts the event and records its id as the last
  * one. */
-BH__EventState bh__event_stream_take(BH__EventStream *s, const char *data, size_t len, size_t *event_len)
+BH__EventState bh__event_stream_parse(BH__EventStream *s, const char *data, size_t len, size_t *event_len)
 {
 	char id[BH__EVENT_ID_LEN];
 
@@ -25,11 +25,11 @@
 		return BH__EVENT_INCOMPLETE;
 	if (find_id_(data, *event_len, id)) {
 		if (is_duplicate_(s, id))
-			return BH__EVENT_SEEN;
+			return BH__EVENT_DUPLICATE;
 		memcpy(s->last_id, id, sizeof id);
 	}
 	s->events++;
-	return BH__EVENT_NEXT;
+	return BH__EVENT_RELAY;
 }
 
 /* Returns the length of the first event with the blank line that ends it, or 0 if that is not in `data`.
--- a/src/libbayhoist/once.c
+++ b/src/libbayhoist/idempotency.c
@@ -3,14 +3,15 @@
  * the low-water mark rises to the sequence of its stamp. A request that has no entry and whose stamp is at or
  * below the mark is answered "may have run". The design is that of a timestamp cache with a low-water mark,
  * whose new holder treats everything earlier as accessed (docs/design/at-most-once.md names the source). */
-#include "bayhoist/once.h"
+#include "bayhoist/idempotency.h"
 
 #include <glib.h>
 #include <stdio.h>
 #include <string.h>
 #include "bayhoist/hash.h"
 
-const char *const BH__OnceStateString[] = {"run", "running", "finished", "other", "forgotten", "elsewhere"};
+const char *const BH__IdempotencyStateString[] = {"run",   "running",   "finished",
+												  "other", "forgotten", "elsewhere"};
 
 /* One request, running or finished. */
 typedef struct {
@@ -18,12 +19,12 @@
 	uint64_t body_hash;
 	uint64_t sequence; /* of the stamp that the request carried */
 	bool running;
-	BH__OnceOutcome outcome;
+	BH__IdempotencyOutcome outcome;
 	char *answer; /* owned copy; NULL if none is kept */
 	GList link;   /* in `finished`, once the request has ended */
 } Entry_;
 
-struct BH__Once {
+struct BH__IdempotencyTable {
 	uint32_t max_entries;
 	size_t max_answer_bytes;
 	size_t answer_bytes;    /* held by all entries together */
@@ -34,14 +35,14 @@
 };
 
 static void free_entry_(gpointer entry);
-static void remove_(BH__Once *o, Entry_ *e);
-static void evict_oldest_(BH__Once *o);
+static void remove_(BH__IdempotencyTable *o, Entry_ *e);
+static void evict_oldest_(BH__IdempotencyTable *o);
 
 /* Returns an empty table that keeps up to `max_entries` entries and `max_answer_bytes` of answers. The caller
- * frees it with bh__once_delete(). */
-BH__Once *bh__once_new(uint32_t max_entries, size_t max_answer_bytes)
+ * frees it with bh__idempotency_delete(). */
+BH__IdempotencyTable *bh__idempotency_new(uint32_t max_entries, size_t max_answer_bytes)
 {
-	BH__Once *o = g_new0(BH__Once, 1);
+	BH__IdempotencyTable *o = g_new0(BH__IdempotencyTable, 1);
 	o->max_entries = max_entries;
 	o->max_answer_bytes = max_answer_bytes;
 	o->entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_entry_);
@@ -58,39 +59,40 @@
 }
 
 /* Frees the table and its entries. */
-void bh__once_delete(BH__Once *o)
+void bh__idempotency_delete(BH__IdempotencyTable *o)
 {
 	g_hash_table_unref(o->entries);
 	g_free(o);
 }
 
 /* Issues a stamp and returns its sequence, which is above all that this table has issued. */
-uint64_t bh__once_issue(BH__Once *o)
+uint64_t bh__idempotency_issue(BH__IdempotencyTable *o)
 {
 	return ++o->last_issued;
 }
 
-/* Claims an idempotency key for an account and returns the state of the request. On BH__ONCE_RUN the caller
- * must run the request and then call bh__once_finish() with `*entry_id`. On BH__ONCE_FINISHED `*outcome` is
- * set and is valid until the next call. */
-BH__OnceState bh__once_claim(BH__Once *o, uint64_t account_id, const char *key, uint64_t body_hash,
-							 uint64_t sequence, uint64_t *entry_id, BH__OnceOutcome *outcome)
+/* Claims an idempotency key for an account and returns the state of the request. On BH__IDEMPOTENCY_RUN the
+ * caller must run the request and then call bh__idempotency_finish() with `*entry_id`. On
+ * BH__IDEMPOTENCY_FINISHED `*outcome` is set and is valid until the next call. */
+BH__IdempotencyState bh__idempotency_claim(BH__IdempotencyTable *o, uint64_t account_id, const char *key,
+										   uint64_t body_hash, uint64_t sequence, uint64_t *entry_id,
+										   BH__IdempotencyOutcome *outcome)
 {
 	uint64_t id = bh__hash_pair(account_id, bh__hash_name(key));
 	Entry_ *e = g_hash_table_lookup(o->entries, &id);
 
 	if (e && e->body_hash != body_hash)
-		return BH__ONCE_OTHER;
+		return BH__IDEMPOTENCY_KEY_REUSED;
 	if (e && e->running)
-		return BH__ONCE_RUNNING;
+		return BH__IDEMPOTENCY_RUNNING;
 	if (e) {
 		*outcome = e->outcome;
-		return BH__ONCE_FINISHED;
+		return BH__IDEMPOTENCY_FINISHED;
 	}
 	if (sequence <= o->low_watermark)
-		return BH__ONCE_FORGOTTEN;
+		return BH__IDEMPOTENCY_EVICTED;
 	if (sequence > o->last_issued) /* not issued by this boot */
-		return BH__ONCE_ELSEWHERE;
+		return BH__IDEMPOTENCY_FOREIGN_STAMP;
 	e = g_new0(Entry_, 1);
 	e->id = id;
 	e->body_hash = body_hash;
@@ -99,13 +101,13 @@
 	e->link.data = e;
 	g_hash_table_insert(o->entries, &e->id, e);
 	*entry_id = id;
-	return BH__ONCE_RUN;
+	return BH__IDEMPOTENCY_RUN;
 }
 
 /* Records the outcome of a claimed request and evicts the oldest outcomes until the table is within its
  * bounds. A request that did not run loses its entry, so that its key can be claimed again. An answer above a
  * sixteenth of the table's bytes for answers is not kept. */
-void bh__once_finish(BH__Once *o, uint64_t entry_id, const BH__OnceOutcome *outcome)
+void bh__idempotency_finish(BH__IdempotencyTable *o, uint64_t entry_id, const BH__IdempotencyOutcome *outcome)
 {
 	Entry_ *e = g_hash_table_lookup(o->entries, &entry_id);
 
@@ -134,7 +136,7 @@
 }
 
 /* Removes the outcome that was recorded first and raises the low-water mark to its sequence. */
-static void evict_oldest_(BH__Once *o)
+static void evict_oldest_(BH__IdempotencyTable *o)
 {
 	Entry_ *e = o->finished.head->data;
 
@@ -143,7 +145,7 @@
 }
 
 /* Removes a finished entry and frees it. */
-static void remove_(BH__Once *o, Entry_ *e)
+static void remove_(BH__IdempotencyTable *o, Entry_ *e)
 {
 	g_queue_unlink(&o->finished, &e->link);
 	o->answer_bytes -= e->outcome.answer_len;
@@ -151,13 +153,13 @@
 }
 
 /* Returns the highest sequence of an evicted entry, or 0 if none was evicted. */
-uint64_t bh__once_get_low_water(const BH__Once *o)
+uint64_t bh__idempotency_get_low_watermark(const BH__IdempotencyTable *o)
 {
 	return o->low_watermark;
 }
 
 /* Returns the number of entries, running ones included. */
-uint32_t bh__once_get_count(const BH__Once *o)
+uint32_t bh__idempotency_get_count(const BH__IdempotencyTable *o)
 {
 	return g_hash_table_size(o->entries);
 }
--- a/src/libbayhoist/include/private/node_internal.h
+++ b/src/libbayhoist/include/private/node_internal.h
@@ -71,9 +71,9 @@
 typedef struct {
 	uint64_t pool_id;
 	BH__Pool *pool;
-	uint64_t next_poll_us;   /* when to request the next load reports */
-	uint64_t next_list_us;   /* when to request load reports that list the attempts */
-	uint64_t next_digest_us; /* when to make the next pool digest */
+	uint64_t next_poll_us;          /* when to request the next load reports */
+	uint64_t next_attempts_poll_us; /* when to request load reports that list the attempts */
+	uint64_t next_digest_us;        /* when to make the next pool digest */
 } BH__Duty;
 
 typedef struct BH__Orders BH__Orders;
@@ -91,7 +91,7 @@
 	BH__Store *store;
 	BH__Config *config;
 	BH__Members *members;
-	BH__Once *idempotency_table; /* outcomes of requests with an idempotency key */
+	BH__IdempotencyTable *idempotency_table; /* outcomes of requests with an idempotency key */
 	BH__Quota *quota;
 	BH__Routes *routes;
 	BH__Orders *orders;
--- a/src/libbayhoist/node.c
+++ b/src/libbayhoist/node.c
@@ -52,7 +52,7 @@
 	n->store = bh__store_new(store, options->store_reads_per_s, options->store_writes_per_s);
 	n->members = bh__members_new(&n->members_port, &n->options.self, options->seed);
 	bh__crashes_init(n);
-	n->idempotency_table = bh__once_new(options->once_entries, options->once_answer_bytes);
+	n->idempotency_table = bh__idempotency_new(options->once_entries, options->once_answer_bytes);
 	n->quota = bh__quota_new();
 	n->routes = bh__routes_new();
 	n->orders = bh__orders_new();
@@ -82,7 +82,7 @@
 	bh__orders_delete(n->orders);
 	bh__routes_delete(n->routes);
 	bh__quota_delete(n->quota);
-	bh__once_delete(n->idempotency_table);
+	bh__idempotency_delete(n->idempotency_table);
 	bh__crash_watch_delete(n->crashes);
 	bh__members_delete(n->members);
 	bh__config_delete(n->config);
@@ -521,7 +521,7 @@
 	uint32_t overload_limit = get_mean_load_(n) * OVERLOAD_FACTOR_ + OVERLOAD_MARGIN_;
 	BH__Stamp stamp = {.node_id = n->options.self.node_id,
 					   .boot_id = bh__members_get_self(n->members)->boot_id,
-					   .sequence = bh__once_issue(n->idempotency_table)};
+					   .sequence = bh__idempotency_issue(n->idempotency_table)};
 
 	memset(out, 0, sizeof *out);
 	out->ttl_s = WHERE_TTL_S_;
--- a/src/libbayhoist/platform_sync.c
+++ b/src/libbayhoist/platform_sync.c
@@ -195,7 +195,7 @@
 void bh__platform_sync_note_read_answered(BH__PlatformSync *l, uint64_t sent_us, uint64_t now_us)
 {
 	l->read_sent_us = 0;
-	bh__answer_time_note(&l->store_answer_time, MAX(now_us - sent_us, 1), EXPECTED_ANSWER_US_);
+	bh__answer_time_record(&l->store_answer_time, MAX(now_us - sent_us, 1), EXPECTED_ANSWER_US_);
 	note_as_of_(l, sent_us);
 }
 
@@ -500,7 +500,7 @@
 static void resend_endpoints_read_(BH__PlatformSync *l, uint64_t now_us)
 {
 	uint64_t wait_us =
-		MAX(RESEND_US_, bh__answer_time_get_longest_us(&l->store_answer_time, EXPECTED_ANSWER_US_));
+		MAX(RESEND_US_, bh__answer_time_get_upper_bound_us(&l->store_answer_time, EXPECTED_ANSWER_US_));
 
 	if (!l->read_sent_us || now_us < l->read_sent_us + wait_us)
 		return;
--- a/src/libbayhoist/request.c
+++ b/src/libbayhoist/request.c
@@ -256,12 +256,12 @@
 		bh__attempt_release(n, e, BH__RELEASE_DONE, BH__NO_ENDPOINT);
 	}
 	if (e->idempotency_entry) {
-		BH__OnceOutcome kept = {.verdict = outcome.verdict, .reason = reason};
+		BH__IdempotencyOutcome kept = {.verdict = outcome.verdict, .reason = reason};
 		if (verdict == BH__VERDICT_RAN && e->answer) {
 			kept.answer = e->answer->str;
 			kept.answer_len = e->answer->len;
 		}
-		bh__once_finish(n->idempotency_table, e->idempotency_entry, &kept);
+		bh__idempotency_finish(n->idempotency_table, e->idempotency_entry, &kept);
 	}
 	n->counters.finished[outcome.verdict]++;
 	if (outcome.verdict == BH__VERDICT_RAN)
--- a/src/test_libbayhoist/test_answer_time.c
+++ b/src/test_libbayhoist/test_answer_time.c
@@ -16,7 +16,7 @@
 	BH__AnswerTime t = {0};
 
 	(void)state;
-	assert_int_equal(bh__answer_time_get_longest_us(&t, 1000 * MS), 0);
+	assert_int_equal(bh__answer_time_get_upper_bound_us(&t, 1000 * MS), 0);
 }
 
 /* One answer says little about the spread of times: the deviation is then half the answer's time, and the
@@ -26,8 +26,8 @@
 	BH__AnswerTime t = {0};
 
 	(void)state;
-	bh__answer_time_note(&t, 1000 * MS, 1000 * MS);
-	assert_int_equal(bh__answer_time_get_longest_us(&t, 1000 * MS), 3000 * MS);
+	bh__answer_time_record(&t, 1000 * MS, 1000 * MS);
+	assert_int_equal(bh__answer_time_get_upper_bound_us(&t, 1000 * MS), 3000 * MS);
 }
 
 /* Answers take between 1 and 1.5 times the expected time. At most one in a hundred exceeds the bound, and the
@@ -41,10 +41,10 @@
 	(void)state;
 	for (unsigned i = 0; i < 2000; i++) {
 		uint64_t took_us = (uint64_t)(1000 * MS * g_rand_double_range(rand, 1, 1.5));
-		uint64_t bound_us = bh__answer_time_get_longest_us(&t, 1000 * MS);
+		uint64_t bound_us = bh__answer_time_get_upper_bound_us(&t, 1000 * MS);
 		exceeded += i > 10 && took_us > bound_us;
 		assert_true(i <= 10 || bound_us < 3000 * MS);
-		bh__answer_time_note(&t, took_us, 1000 * MS);
+		bh__answer_time_record(&t, took_us, 1000 * MS);
 	}
 	assert_in_range(exceeded, 0, 20);
 	g_rand_free(rand);
@@ -65,10 +65,10 @@
 		uint64_t expected_us = (uint64_t)(MS * (is_long ? g_rand_double_range(rand, 2000, 5000)
 														: g_rand_double_range(rand, 300, 600)));
 		uint64_t took_us = (uint64_t)((double)expected_us * g_rand_double_range(rand, 0.6, 1.1));
-		uint64_t bound_us = bh__answer_time_get_longest_us(&t, expected_us);
+		uint64_t bound_us = bh__answer_time_get_upper_bound_us(&t, expected_us);
 		exceeded += i > 10 && took_us > bound_us;
 		assert_true(i <= 10 || bound_us < 2 * expected_us);
-		bh__answer_time_note(&t, took_us, expected_us);
+		bh__answer_time_record(&t, took_us, expected_us);
 	}
 	assert_in_range(exceeded, 0, 80);
 	g_rand_free(rand);
--- a/src/test_libbayhoist/test_duties.c
+++ b/src/test_libbayhoist/test_duties.c
@@ -77,9 +77,9 @@
 
 	(void)state;
 	bh__caller_time_init(&t, TIMEOUT_US);
-	assert_int_equal(bh__caller_time_note(&t, TIMEOUT_US - 2 * BH__MS_US), 0);
-	assert_int_equal(bh__caller_time_note(&t, TIMEOUT_US - 2 * BH__SECOND_US), 2 * BH__SECOND_US);
-	assert_int_equal(bh__caller_time_note(&t, TIMEOUT_US), 0);
+	assert_int_equal(bh__caller_time_record(&t, TIMEOUT_US - 2 * BH__MS_US), 0);
+	assert_int_equal(bh__caller_time_record(&t, TIMEOUT_US - 2 * BH__SECOND_US), 2 * BH__SECOND_US);
+	assert_int_equal(bh__caller_time_record(&t, TIMEOUT_US), 0);
 }
 
 /* The estimate adapts, up and down, when callers start with another time than the route allows. */
@@ -91,12 +91,12 @@
 	(void)state;
 	bh__caller_time_init(&t, TIMEOUT_US);
 	for (unsigned i = 0; i < 40; i++)
-		false_retries += bh__caller_time_note(&t, TIMEOUT_US / 2) > 0;
+		false_retries += bh__caller_time_record(&t, TIMEOUT_US / 2) > 0;
 	assert_true(false_retries < 16);
-	assert_int_equal(bh__caller_time_note(&t, TIMEOUT_US / 2), 0);
-	assert_int_equal(bh__caller_time_note(&t, TIMEOUT_US / 4), TIMEOUT_US / 4);
-	assert_int_equal(bh__caller_time_note(&t, TIMEOUT_US * 2), 0);
-	assert_int_equal(bh__caller_time_note(&t, TIMEOUT_US), TIMEOUT_US);
+	assert_int_equal(bh__caller_time_record(&t, TIMEOUT_US / 2), 0);
+	assert_int_equal(bh__caller_time_record(&t, TIMEOUT_US / 4), TIMEOUT_US / 4);
+	assert_int_equal(bh__caller_time_record(&t, TIMEOUT_US * 2), 0);
+	assert_int_equal(bh__caller_time_record(&t, TIMEOUT_US), TIMEOUT_US);
 }
 
 /* No request counts as a caller retry when callers start with widely different times. */
@@ -109,7 +109,7 @@
 	bh__caller_time_init(&t, TIMEOUT_US);
 	for (unsigned i = 0; i < 1000; i++) {
 		uint64_t left_us = TIMEOUT_US / 10 + TIMEOUT_US * ((i * 7919) % 1000) / 1250;
-		bool is_retry = bh__caller_time_note(&t, left_us) > 0;
+		bool is_retry = bh__caller_time_record(&t, left_us) > 0;
 		false_retries += is_retry && i >= 100;
 	}
 	assert_int_equal(false_retries, 0);
--- a/src/test_libbayhoist/test_gateway.c
+++ b/src/test_libbayhoist/test_gateway.c
@@ -455,17 +455,17 @@
 	size_t at = 0;
 
 	(void)state;
-	assert_int_equal(bh__event_stream_take(&s, Text, sizeof Text - 1, &len), BH__EVENT_NEXT);
+	assert_int_equal(bh__event_stream_parse(&s, Text, sizeof Text - 1, &len), BH__EVENT_RELAY);
 	assert_string_equal(s.last_id, "1");
 	at += len;
-	assert_int_equal(bh__event_stream_take(&s, Text + at, sizeof Text - 1 - at, &len), BH__EVENT_NEXT);
+	assert_int_equal(bh__event_stream_parse(&s, Text + at, sizeof Text - 1 - at, &len), BH__EVENT_RELAY);
 	assert_string_equal(s.last_id, "2");
 	at += len;
-	assert_int_equal(bh__event_stream_take(&s, Text + at, sizeof Text - 1 - at, &len), BH__EVENT_INCOMPLETE);
+	assert_int_equal(bh__event_stream_parse(&s, Text + at, sizeof Text - 1 - at, &len), BH__EVENT_INCOMPLETE);
 	assert_int_equal(s.events, 2);
 	for (size_t cut = 0; cut < strlen("id: 1\ndata: a\n\n"); cut++) {
 		BH__EventStream t = {0};
-		assert_int_equal(bh__event_stream_take(&t, Text, cut, &len), BH__EVENT_INCOMPLETE);
+		assert_int_equal(bh__event_stream_parse(&t, Text, cut, &len), BH__EVENT_INCOMPLETE);
 	}
 }
 
@@ -478,8 +478,8 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(Texts); i++)
-		assert_int_equal(bh__event_stream_take(&s, Texts[i], strlen(Texts[i]), &len), BH__EVENT_SEEN);
-	assert_int_equal(bh__event_stream_take(&s, "id: 11\n\n", 8, &len), BH__EVENT_NEXT);
+		assert_int_equal(bh__event_stream_parse(&s, Texts[i], strlen(Texts[i]), &len), BH__EVENT_DUPLICATE);
+	assert_int_equal(bh__event_stream_parse(&s, "id: 11\n\n", 8, &len), BH__EVENT_RELAY);
 	assert_string_equal(s.last_id, "11");
 }
 
--- a/src/test_libbayhoist/test_limits.c
+++ b/src/test_libbayhoist/test_limits.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include "bayhoist/memory_budget.h"
 #include "bayhoist/hash.h"
-#include "bayhoist/once.h"
+#include "bayhoist/idempotency.h"
 #include "bayhoist/quota.h"
 #include "retry.h"
 
@@ -193,9 +193,9 @@
 
 static void once_remembers_and_forgets_safely_(void **state)
 {
-	BH__Once *o = bh__once_new(100, 1 << 20);
-	BH__OnceOutcome ran = {.verdict = BH__VERDICT_RAN, .answer = "yes", .answer_len = 3};
-	BH__OnceOutcome known;
+	BH__IdempotencyTable *o = bh__idempotency_new(100, 1 << 20);
+	BH__IdempotencyOutcome ran = {.verdict = BH__VERDICT_RAN, .answer = "yes", .answer_len = 3};
+	BH__IdempotencyOutcome known;
 	uint64_t entry;
 	GRand *rand = g_rand_new_with_seed(3);
 	GHashTable *has_run = g_hash_table_new(g_direct_hash, g_direct_equal);
@@ -205,44 +205,45 @@
 		guint key = (guint)g_rand_int_range(rand, 0, 1000);
 		char name[16];
 		static uint64_t stamp_of_key[1000];
-		BH__OnceState s;
+		BH__IdempotencyState s;
 		if (!stamp_of_key[key])
-			stamp_of_key[key] = bh__once_issue(o);
+			stamp_of_key[key] = bh__idempotency_issue(o);
 		g_snprintf(name, sizeof name, "k%u", key);
-		s = bh__once_claim(o, 1, name, key, stamp_of_key[key], &entry, &known);
-		if (s == BH__ONCE_RUN) {
+		s = bh__idempotency_claim(o, 1, name, key, stamp_of_key[key], &entry, &known);
+		if (s == BH__IDEMPOTENCY_RUN) {
 			assert_false(g_hash_table_contains(has_run, GUINT_TO_POINTER(key + 1)));
 			g_hash_table_add(has_run, GUINT_TO_POINTER(key + 1));
-			bh__once_finish(o, entry, &ran);
+			bh__idempotency_finish(o, entry, &ran);
 		}
-		else if (s == BH__ONCE_FINISHED) {
+		else if (s == BH__IDEMPOTENCY_FINISHED) {
 			assert_memory_equal(known.answer, "yes", 3);
 		}
 		else {
-			assert_int_equal(s, BH__ONCE_FORGOTTEN);
+			assert_int_equal(s, BH__IDEMPOTENCY_EVICTED);
 		}
 	}
-	assert_true(bh__once_get_count(o) <= 100);
-	assert_true(bh__once_get_low_water(o) > 0);
+	assert_true(bh__idempotency_get_count(o) <= 100);
+	assert_true(bh__idempotency_get_low_watermark(o) > 0);
 	g_hash_table_unref(has_run);
 	g_rand_free(rand);
-	bh__once_delete(o);
+	bh__idempotency_delete(o);
 }
 
 static void once_keeps_accounts_apart_(void **state)
 {
-	BH__Once *o = bh__once_new(10, 1000);
-	BH__OnceOutcome known;
+	BH__IdempotencyTable *o = bh__idempotency_new(10, 1000);
+	BH__IdempotencyOutcome known;
 	uint64_t entry;
-	uint64_t stamp = bh__once_issue(o);
+	uint64_t stamp = bh__idempotency_issue(o);
 
 	(void)state;
-	assert_int_equal(bh__once_claim(o, 1, "k", 5, stamp, &entry, &known), BH__ONCE_RUN);
-	assert_int_equal(bh__once_claim(o, 1, "k", 5, stamp, &entry, &known), BH__ONCE_RUNNING);
-	assert_int_equal(bh__once_claim(o, 1, "k", 6, stamp, &entry, &known), BH__ONCE_OTHER);
-	assert_int_equal(bh__once_claim(o, 2, "k", 5, stamp, &entry, &known), BH__ONCE_RUN);
-	assert_int_equal(bh__once_claim(o, 2, "new", 5, stamp + 1, &entry, &known), BH__ONCE_ELSEWHERE);
-	bh__once_delete(o);
+	assert_int_equal(bh__idempotency_claim(o, 1, "k", 5, stamp, &entry, &known), BH__IDEMPOTENCY_RUN);
+	assert_int_equal(bh__idempotency_claim(o, 1, "k", 5, stamp, &entry, &known), BH__IDEMPOTENCY_RUNNING);
+	assert_int_equal(bh__idempotency_claim(o, 1, "k", 6, stamp, &entry, &known), BH__IDEMPOTENCY_KEY_REUSED);
+	assert_int_equal(bh__idempotency_claim(o, 2, "k", 5, stamp, &entry, &known), BH__IDEMPOTENCY_RUN);
+	assert_int_equal(bh__idempotency_claim(o, 2, "new", 5, stamp + 1, &entry, &known),
+					 BH__IDEMPOTENCY_FOREIGN_STAMP);
+	bh__idempotency_delete(o);
 }
 
 static void stamps_are_read_strictly_(void **state)
