--- a/include/bayhoist/field.h
+++ b/include/bayhoist/field.h
@@ -1,5 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Reading checked JSON objects into structs by a table of fields. Used for settings and resources alike. */
+/* Table-driven decoding of JSON objects into structs, with validation. Used for settings and for resources.
+ */
 #ifndef BAYHOIST_FIELD_H
 #define BAYHOIST_FIELD_H
 
@@ -8,25 +9,26 @@
 #include <stddef.h>
 #include "bayhoist/types.h"
 
+/* C type of the struct member that a field is decoded into. */
 typedef enum {
-	BH__FIELD_STRING, /* char[], `max` is the array's size */
+	BH__FIELD_STRING, /* char[]; `max` is the array size, including the terminator */
 	BH__FIELD_U64,    /* uint64_t within [min, max] */
 	BH__FIELD_REAL,   /* double within [min, max] */
 	BH__FIELD_BOOL,   /* bool */
-	BH__FIELD_LIST    /* char *[] of strings, a GStrv that the struct owns; `max` entries at most */
+	BH__FIELD_LIST    /* GStrv that the struct owns; at most `max` entries */
 } BH__FieldType;
 
-/* One field of an object: its JSON name, where it goes, whether it must be there and its bounds. */
+/* Description of one field of an object. */
 typedef struct {
-	const char *name;
+	const char *name; /* key in the JSON object */
 	BH__FieldType type;
-	size_t offset;
-	bool required;
-	uint64_t min;
-	uint64_t max;
+	size_t offset; /* of the member in the struct, bytes */
+	bool required; /* the object is invalid without this field */
+	uint64_t min;  /* lower bound of a number, inclusive */
+	uint64_t max;  /* upper bound of a number, inclusive, or a size as BH__FieldType says */
 } BH__Field;
 
-/* Rows of a table of fields: field F of struct S, whose JSON name is the same. */
+/* Rows of a field table, each for member F of struct S; the JSON key is the member's name. */
 /* clang-format off */
 #define BH__STRING_FIELD(S, F, REQ) {#F, BH__FIELD_STRING, offsetof(S, F), REQ, 0, sizeof(((S *)0)->F)}
 #define BH__U64_FIELD(S, F, REQ, MIN, MAX) {#F, BH__FIELD_U64, offsetof(S, F), REQ, MIN, MAX}
@@ -35,6 +37,7 @@
 #define BH__LIST_FIELD(S, F, MAX) {#F, BH__FIELD_LIST, offsetof(S, F), false, 0, MAX}
 /* clang-format on */
 
+/* Malformed text, an invalid field, or a reference to an object that does not exist. */
 typedef enum { BH__INPUT_ERROR_SYNTAX, BH__INPUT_ERROR_FIELD, BH__INPUT_ERROR_REFERENCE } BH__InputError;
 
 #define BH__INPUT_ERROR (bh__input_error_quark())
--- a/include/bayhoist/packed_text.h
+++ b/include/bayhoist/packed_text.h
@@ -1,17 +1,18 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* A text that is packed (zlib) to be sent to other nodes. */
+/* Zlib-compressed text for transfer between nodes. */
 #ifndef BAYHOIST_PACKED_TEXT_H
 #define BAYHOIST_PACKED_TEXT_H
 
 #include "bayhoist/types.h"
 
-#define BH__PACKED_TEXT_MAX (16u * 1024 * 1024) /* bytes of a text; the platform's largest value has 1 MB */
+#define BH__PACKED_TEXT_MAX                                                                                  \
+	(16u * 1024 * 1024) /* Longest uncompressed text, bytes; the platform's store limits a value to 1 MB */
 
-/* The zeroed one holds no text. */
+/* A compressed text. A zeroed struct holds no text. */
 typedef struct {
-	uint8_t *data;
-	uint32_t len;
-	uint32_t text_len; /* bytes that the text has */
+	uint8_t *data;     /* compressed bytes, owned; NULL: no text */
+	uint32_t len;      /* length of `data`, bytes */
+	uint32_t text_len; /* length of the uncompressed text, bytes */
 } BH__PackedText;
 
 void bh__packed_text_set(BH__PackedText *p, const char *text);
--- a/include/bayhoist/store.h
+++ b/include/bayhoist/store.h
@@ -1,53 +1,59 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The platform's key-value service as the library sees it: a port that carries calls, and a client that keeps
- * within the call budget, times calls out and hands answers to whoever asked. */
+/* Client of the platform's key-value store. The application supplies a port that carries calls to the store.
+ * The client enforces the call budget, applies time-outs and dispatches each reply to the owner of its call.
+ */
 #ifndef BAYHOIST_STORE_H
 #define BAYHOIST_STORE_H
 
 #include <stddef.h>
 #include "bayhoist/types.h"
 
+/* Operation of a call. */
 typedef enum {
 	BH__STORE_GET,
 	BH__STORE_PUT,
-	BH__STORE_CAS, /* put if the key's mod_revision is `expect_revision` (0: absent) */
+	BH__STORE_CAS, /* compare-and-swap: put if the key's mod_revision is `expect_revision` */
 	BH__STORE_LEASE_GRANT,
-	BH__STORE_LEASE_KEEP
+	BH__STORE_LEASE_KEEP /* renew a lease */
 } BH__StoreOp;
 
+/* Result of a call. */
 typedef enum {
 	BH__STORE_OK,
-	BH__STORE_ABSENT,
-	BH__STORE_CONFLICT, /* the compare failed: nothing was written */
-	BH__STORE_NOT_SENT, /* over budget or backing off: nothing was written */
-	BH__STORE_UNKNOWN   /* no answer: it may have taken effect, now or later */
+	BH__STORE_ABSENT,   /* the key does not exist */
+	BH__STORE_CONFLICT, /* the comparison failed; nothing was written */
+	BH__STORE_NOT_SENT, /* rejected by the call budget or the back-off; nothing was written */
+	BH__STORE_UNKNOWN   /* no reply; the call may have taken effect or may still do so */
 } BH__StoreStatus;
 
+/* A call to the store. Fields that the operation does not use are 0 or NULL. */
 typedef struct {
-	uint64_t call_id;
+	uint64_t call_id; /* set by bh__store_call() */
 	BH__StoreOp op;
 	const char *key;
 	const char *value;
-	size_t value_len;
-	uint64_t expect_revision;
-	int64_t lease_id;
-	uint32_t ttl_s;
+	size_t value_len;         /* bytes */
+	uint64_t expect_revision; /* mod_revision that a compare-and-swap requires; 0: the key must not exist */
+	int64_t lease_id;         /* lease that a write is bound to or that is renewed; 0: none */
+	uint32_t ttl_s;           /* time to live of a new lease */
 } BH__StoreCall;
 
+/* The reply to a call. Fields that the operation does not return are 0 or NULL. */
 typedef struct {
 	uint64_t call_id;
 	BH__StoreStatus status;
-	uint64_t mod_revision; /* of the key after the call; the fencing token of a lease key */
+	uint64_t mod_revision; /* revision of the key after the call; serves as fencing token of a lease key */
 	const char *value;
-	size_t value_len;
+	size_t value_len; /* bytes */
 	int64_t lease_id;
 } BH__StoreReply;
 
-/* Carries calls to the service. The answer comes back through bh__store_process_reply(). */
+/* Transport to the store. The port passes each reply to bh__store_process_reply(). */
 typedef struct BH__StorePort {
 	void (*call)(struct BH__StorePort *port, const BH__StoreCall *call);
 } BH__StorePort;
 
+/* Called with the reply to a call; the reply is valid only during the callback. */
 typedef void (*BH__StoreDone)(void *owner, const BH__StoreReply *reply, uint64_t now_us);
 
 typedef struct BH__Store BH__Store;
--- a/src/libbayhoist/catalog.c
+++ b/src/libbayhoist/catalog.c
@@ -1,5 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The catalog of resources: lookup, changes with preconditions, references between resources, chunks. */
+/* The catalog of resources: lookup, changes with preconditions, validation of references between resources,
+ * and serialization in chunks. */
 #include "bayhoist/catalog.h"
 
 #include <string.h>
@@ -7,27 +8,27 @@
 
 struct BH__Catalog {
 	GPtrArray *kinds[BH__KIND_COUNT]; /* BH__Resource *, sorted by name */
-	BH__Policy default_policy;
+	BH__Policy default_policy;        /* applies if no policy is configured */
 };
 
 static void free_resource_(gpointer r);
 static gint compare_name_(gconstpointer a, gconstpointer b);
-static bool apply_one_(BH__Catalog *c, struct json_object *item, GError **error);
+static bool apply_item_(BH__Catalog *c, struct json_object *item, GError **error);
 static const char *get_string_(struct json_object *object, const char *name);
 static bool check_generation_(const BH__Resource *old, struct json_object *item, GError **error);
 static int find_index_(const BH__Catalog *c, BH__Kind kind, uint64_t id);
-static void put_(BH__Catalog *c, BH__Resource *r);
-static void remove_(BH__Catalog *c, BH__Kind kind, int index);
+static void put_resource_(BH__Catalog *c, BH__Resource *r);
+static void remove_resource_(BH__Catalog *c, BH__Kind kind, int index);
 static bool check_reference_(const BH__Catalog *c, const BH__Resource *r, const char *field, BH__Kind kind,
 							 const char *name, GError **error);
-static unsigned chunk_of_(const BH__Resource *r);
+static unsigned get_chunk_index_(const BH__Resource *r);
 
 GQuark bh__catalog_error_quark(void)
 {
 	return g_quark_from_static_string("bh-catalog-error");
 }
 
-/* Returns an empty catalog. */
+/* Returns an empty catalog; the caller frees it with bh__catalog_delete(). */
 BH__Catalog *bh__catalog_new(void)
 {
 	BH__Catalog *c = g_new0(BH__Catalog, 1);
@@ -42,6 +43,7 @@
 	bh__resource_delete(r);
 }
 
+/* Frees a catalog and its resources. Does nothing if `c` is NULL. */
 void bh__catalog_delete(BH__Catalog *c)
 {
 	if (!c)
@@ -51,7 +53,7 @@
 	g_free(c);
 }
 
-/* Returns a copy to try a change on. */
+/* Returns a deep copy, on which a change can be tried. The caller frees it with bh__catalog_delete(). */
 BH__Catalog *bh__catalog_copy(const BH__Catalog *c)
 {
 	BH__Catalog *copy = bh__catalog_new();
@@ -65,6 +67,7 @@
 	return copy;
 }
 
+/* Returns the index of a resource in the array of its kind, or -1. */
 static int find_index_(const BH__Catalog *c, BH__Kind kind, uint64_t id)
 {
 	for (guint i = 0; i < c->kinds[kind]->len; i++)
@@ -86,14 +89,15 @@
 	return c->kinds[kind];
 }
 
-/* Returns the policy named "default", or the built-in one. */
+/* Returns the policy named "default", or the built-in policy if none has this name. */
 const BH__Policy *bh__catalog_get_policy(const BH__Catalog *c)
 {
 	const BH__Resource *r = bh__catalog_find(c, BH__KIND_POLICY, bh__hash_name("default"));
 	return r ? &r->as.policy : &c->default_policy;
 }
 
-/* Returns true if operators have an endpoint receive no new work: it leaves, or its hall drains. */
+/* Returns true if an endpoint receives no new work because it is marked as leaving or its hall is draining.
+ */
 bool bh__catalog_is_leaving(const BH__Catalog *c, const BH__Endpoint *e)
 {
 	const BH__Resource *hall = bh__catalog_find(c, BH__KIND_HALL, bh__hash_name(e->hall));
@@ -101,8 +105,9 @@
 	return e->leaving || (hall && hall->as.hall.draining);
 }
 
-/* Applies {"resources": [{"kind", "name", "spec" | "delete", "if_generation"}]} as one change. On an error
- * the catalog may be half changed: apply to a copy. */
+/* Applies {"resources": [{"kind", "name", "spec" | "delete", "if_generation"}]} as one change. Returns false
+ * and sets an error if the change is invalid or conflicts with a newer generation. The catalog may then be
+ * partly changed, so callers apply changes to a copy. */
 bool bh__catalog_apply(BH__Catalog *c, struct json_object *change, GError **error)
 {
 	struct json_object *items = NULL;
@@ -115,14 +120,16 @@
 		return false;
 	}
 	for (size_t i = 0; i < json_object_array_length(items); i++) {
-		if (!apply_one_(c, json_object_array_get_idx(items, i), error)) {
+		if (!apply_item_(c, json_object_array_get_idx(items, i), error)) {
 			g_prefix_error(error, "resource %u: ", (unsigned)i);
 			return false;
 		}
 	}
-	return bh__catalog_check(c, error);
+	return bh__catalog_check_references(c, error);
 }
 
+/* Returns the string field `name` of an object, or NULL if it is absent or not a string. The object owns the
+ * string. */
 static const char *get_string_(struct json_object *object, const char *name)
 {
 	struct json_object *value;
@@ -131,12 +138,14 @@
 	return json_object_get_string(value);
 }
 
-static bool apply_one_(BH__Catalog *c, struct json_object *item, GError **error)
+/* Creates, replaces or deletes one resource. Deleting a resource that does not exist succeeds. The fields
+ * `generation` and `status` are accepted and ignored. */
+static bool apply_item_(BH__Catalog *c, struct json_object *item, GError **error)
 {
 	const char *kind_name = get_string_(item, "kind");
 	const char *name = get_string_(item, "name");
 	struct json_object *spec = NULL;
-	struct json_object *gone = NULL;
+	struct json_object *delete_value = NULL;
 	BH__Kind kind;
 	BH__Resource *r;
 	int old;
@@ -165,9 +174,9 @@
 	old = find_index_(c, kind, bh__hash_name(name));
 	if (!check_generation_(old < 0 ? NULL : g_ptr_array_index(c->kinds[kind], old), item, error))
 		return false;
-	if (json_object_object_get_ex(item, "delete", &gone) && json_object_get_boolean(gone)) {
+	if (json_object_object_get_ex(item, "delete", &delete_value) && json_object_get_boolean(delete_value)) {
 		if (old >= 0)
-			remove_(c, kind, old);
+			remove_resource_(c, kind, old);
 		return true;
 	}
 	if (!json_object_object_get_ex(item, "spec", &spec)) {
@@ -178,33 +187,38 @@
 	r = bh__resource_new(kind, name, spec, error);
 	if (!r)
 		return false;
-	put_(c, r);
+	put_resource_(c, r);
 	return true;
 }
 
+/* Checks the precondition `if_generation`, if there is one. Generation 0 requires that the resource does not
+ * exist. Returns false and sets a BH__CATALOG_ERROR_CONFLICT error if the generation differs. */
 static bool check_generation_(const BH__Resource *old, struct json_object *item, GError **error)
 {
-	struct json_object *want = NULL;
-	uint64_t have = old ? old->generation : 0;
+	struct json_object *expected = NULL;
+	uint64_t current_generation = old ? old->generation : 0;
 
-	if (!json_object_object_get_ex(item, "if_generation", &want))
+	if (!json_object_object_get_ex(item, "if_generation", &expected))
 		return true;
-	if (json_object_is_type(want, json_type_int) && (uint64_t)json_object_get_int64(want) == have)
+	if (json_object_is_type(expected, json_type_int) &&
+		(uint64_t)json_object_get_int64(expected) == current_generation)
 		return true;
 	g_set_error(error, BH__CATALOG_ERROR, BH__CATALOG_ERROR_CONFLICT,
-				"field \"if_generation\": the resource is at generation %" G_GUINT64_FORMAT, have);
+				"field \"if_generation\": the resource is at generation %" G_GUINT64_FORMAT,
+				current_generation);
 	return false;
 }
 
-/* Puts `r` in place of one with its name: an unchanged spec keeps the generation. */
-static void put_(BH__Catalog *c, BH__Resource *r)
+/* Adds `r`, which the catalog then owns, and replaces a resource of the same kind and name. The generation
+ * grows by 1 if the spec differs from the replaced one and stays otherwise. */
+static void put_resource_(BH__Catalog *c, BH__Resource *r)
 {
 	int i = find_index_(c, r->kind, r->id);
 
 	if (i >= 0) {
 		const BH__Resource *old = g_ptr_array_index(c->kinds[r->kind], i);
 		r->generation = old->generation + (strcmp(old->spec_json, r->spec_json) != 0);
-		remove_(c, r->kind, i);
+		remove_resource_(c, r->kind, i);
 	}
 	g_ptr_array_add(c->kinds[r->kind], r);
 	g_ptr_array_sort(c->kinds[r->kind], compare_name_);
@@ -217,13 +231,14 @@
 	return strcmp((*ra)->name, (*rb)->name);
 }
 
-static void remove_(BH__Catalog *c, BH__Kind kind, int index)
+static void remove_resource_(BH__Catalog *c, BH__Kind kind, int index)
 {
 	g_ptr_array_remove_index(c->kinds[kind], (guint)index);
 }
 
-/* Checks that each resource that names another names one that is there. */
-bool bh__catalog_check(const BH__Catalog *c, GError **error)
+/* Checks that every reference from one resource to another names an existing resource. Returns false and sets
+ * a BH__CATALOG_ERROR_INVALID error at the first dangling reference. */
+bool bh__catalog_check_references(const BH__Catalog *c, GError **error)
 {
 	for (int k = 0; k < BH__KIND_COUNT; k++) {
 		for (guint i = 0; i < c->kinds[k]->len; i++) {
@@ -246,6 +261,8 @@
 	return true;
 }
 
+/* Checks that `name` is empty or names a resource of `kind`. Returns false and sets an error that names
+ * `field` otherwise. */
 static bool check_reference_(const BH__Catalog *c, const BH__Resource *r, const char *field, BH__Kind kind,
 							 const char *name, GError **error)
 {
@@ -257,12 +274,14 @@
 	return false;
 }
 
-static unsigned chunk_of_(const BH__Resource *r)
+/* Returns the index of the chunk that holds a resource; it depends only on kind and name. */
+static unsigned get_chunk_index_(const BH__Resource *r)
 {
 	return (unsigned)r->kind * BH__CHUNKS_PER_KIND + (unsigned)(r->id % BH__CHUNKS_PER_KIND);
 }
 
-/* Returns the text of one chunk (free with g_free()); the same resources give the same text. */
+/* Returns one chunk as a JSON text, which the caller frees with g_free(). The text is deterministic: the same
+ * resources always give the same text. */
 char *bh__catalog_write_chunk(const BH__Catalog *c, unsigned chunk)
 {
 	const GPtrArray *all = c->kinds[chunk / BH__CHUNKS_PER_KIND];
@@ -270,7 +289,7 @@
 
 	for (guint i = 0; i < all->len; i++) {
 		const BH__Resource *r = g_ptr_array_index(all, i);
-		if (chunk_of_(r) != chunk)
+		if (get_chunk_index_(r) != chunk)
 			continue;
 		g_string_append_printf(out, "%s{\"name\":\"%s\",\"generation\":%" G_GUINT64_FORMAT ",\"spec\":%s}",
 							   out->len > 1 ? "," : "", r->name, r->generation, r->spec_json);
@@ -279,7 +298,8 @@
 	return g_string_free(out, FALSE);
 }
 
-/* Puts the resources of one chunk's text in place of those that the catalog has for that chunk. */
+/* Replaces the resources of one chunk with those in `text`. Returns false and sets an error if the text is
+ * malformed or a spec is invalid; the chunk may then be partly read. */
 bool bh__catalog_read_chunk(BH__Catalog *c, unsigned chunk, const char *text, size_t len, GError **error)
 {
 	BH__Kind kind = (BH__Kind)(chunk / BH__CHUNKS_PER_KIND);
@@ -287,8 +307,8 @@
 	bool ok = items != NULL;
 
 	for (int i = (int)c->kinds[kind]->len - 1; ok && i >= 0; i--)
-		if (chunk_of_(g_ptr_array_index(c->kinds[kind], i)) == chunk)
-			remove_(c, kind, i);
+		if (get_chunk_index_(g_ptr_array_index(c->kinds[kind], i)) == chunk)
+			remove_resource_(c, kind, i);
 	for (size_t i = 0; ok && i < json_object_array_length(items); i++) {
 		struct json_object *item = json_object_array_get_idx(items, i);
 		struct json_object *generation = NULL;
--- a/src/libbayhoist/field.c
+++ b/src/libbayhoist/field.c
@@ -1,15 +1,15 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Table-driven reading of JSON objects. Errors name the field and the cause. */
+/* Table-driven decoding of JSON objects. Error messages name the field and the cause. */
 #include "bayhoist/field.h"
 
 #include <string.h>
 
-#define MAX_DEPTH_ 32
+#define MAX_DEPTH_ 32 /* nesting levels of a JSON text */
 
-static unsigned line_at_(const char *text, size_t offset);
+static unsigned get_line_number_(const char *text, size_t offset);
 static bool is_rest_empty_(const char *text, size_t len, size_t offset);
-static bool read_one_(const BH__Field *f, struct json_object *value, const char *where, void *out,
-					  GError **error);
+static bool read_field_(const BH__Field *f, struct json_object *value, const char *where, void *out,
+						GError **error);
 static bool read_string_(const BH__Field *f, struct json_object *value, const char *where, char *out,
 						 GError **error);
 static bool read_u64_(const BH__Field *f, struct json_object *value, const char *where, uint64_t *out,
@@ -18,15 +18,16 @@
 					   GError **error);
 static bool read_list_(const BH__Field *f, struct json_object *value, const char *where, char ***out,
 					   GError **error);
-static const BH__Field *find_(const BH__Field *fields, size_t count, const char *name);
-static bool wrong_type_(const BH__Field *f, const char *where, const char *wanted, GError **error);
+static const BH__Field *find_field_(const BH__Field *fields, size_t count, const char *name);
+static bool set_type_error_(const BH__Field *f, const char *where, const char *wanted, GError **error);
 
 GQuark bh__input_error_quark(void)
 {
 	return g_quark_from_static_string("bh-input-error");
 }
 
-/* Parses one JSON value (comments allowed). Returns it, to be freed with json_object_put(), or NULL with an
+/* Parses a text that holds one JSON value; comments are allowed. Returns the value, which the caller frees
+ * with json_object_put(). On malformed JSON or invalid UTF-8, returns NULL and sets a BH__INPUT_ERROR_SYNTAX
  * error that names the line. */
 struct json_object *bh__json_parse(const char *text, size_t len, GError **error)
 {
@@ -42,17 +43,19 @@
 		value = NULL;
 		err = json_tokener_error_parse_unexpected;
 	}
-	if (err == json_tokener_continue) /* a bare number at the end needs its terminator */
+	if (err ==
+		json_tokener_continue) /* a number at the end of the text is complete only with the terminator */
 		value = json_tokener_parse_ex(tok, "", 1);
 	if (!value)
 		g_set_error(error, BH__INPUT_ERROR, BH__INPUT_ERROR_SYNTAX, "line %u: malformed JSON: %s",
-					line_at_(text, json_tokener_get_parse_end(tok)),
-					err == json_tokener_continue ? "text ends too early" : json_tokener_error_desc(err));
+					get_line_number_(text, json_tokener_get_parse_end(tok)),
+					err == json_tokener_continue ? "unexpected end of text" : json_tokener_error_desc(err));
 	json_tokener_free(tok);
 	return value;
 }
 
-/* Returns true if nothing but blanks and comments follows `offset`. */
+/* Returns true if the text after `offset` starts, after any whitespace, with a NUL byte or a comment, or if
+ * it ends there. */
 static bool is_rest_empty_(const char *text, size_t len, size_t offset)
 {
 	while (offset < len && g_ascii_isspace(text[offset]))
@@ -60,8 +63,8 @@
 	return offset >= len || text[offset] == '/' || text[offset] == '\0';
 }
 
-/* Returns the 1-based line of the byte `offset`. */
-static unsigned line_at_(const char *text, size_t offset)
+/* Returns the number of the line that holds the byte at `offset`, counted from 1. */
+static unsigned get_line_number_(const char *text, size_t offset)
 {
 	unsigned line = 1;
 	for (size_t i = 0; i < offset && text[i]; i++)
@@ -69,8 +72,10 @@
 	return line;
 }
 
-/* Reads every field of `object` into the struct `out`, leaving absent optional fields as they are. `where`
- * names the object in errors. Returns false on an unknown, missing, ill-typed or out-of-range field. */
+/* Decodes every field of `object` into the struct `out`. Optional fields that are absent keep their value in
+ * `out`. `where` names the object in error messages. On an unknown, missing, ill-typed or out-of-range field,
+ * returns false and sets a BH__INPUT_ERROR_FIELD error; fields that precede it are already stored in `out`.
+ */
 bool bh__fields_read(const BH__Field *fields, size_t count, struct json_object *object, const char *where,
 					 void *out, GError **error)
 {
@@ -80,13 +85,13 @@
 	}
 	json_object_object_foreach(object, key, value)
 	{
-		const BH__Field *f = find_(fields, count, key);
+		const BH__Field *f = find_field_(fields, count, key);
 		if (!f) {
 			g_set_error(error, BH__INPUT_ERROR, BH__INPUT_ERROR_FIELD, "%s: field \"%s\": unknown field",
 						where, key);
 			return false;
 		}
-		if (!read_one_(f, value, where, out, error))
+		if (!read_field_(f, value, where, out, error))
 			return false;
 	}
 	for (size_t i = 0; i < count; i++) {
@@ -99,7 +104,8 @@
 	return true;
 }
 
-static const BH__Field *find_(const BH__Field *fields, size_t count, const char *name)
+/* Returns the field with this JSON name, or NULL. */
+static const BH__Field *find_field_(const BH__Field *fields, size_t count, const char *name)
 {
 	for (size_t i = 0; i < count; i++)
 		if (!strcmp(fields[i].name, name))
@@ -107,41 +113,44 @@
 	return NULL;
 }
 
-static bool read_one_(const BH__Field *f, struct json_object *value, const char *where, void *out,
-					  GError **error)
+/* Decodes `value` into the member that `f` describes. Returns false with an error if it is invalid. */
+static bool read_field_(const BH__Field *f, struct json_object *value, const char *where, void *out,
+						GError **error)
 {
-	char *at = (char *)out + f->offset;
+	char *dest = (char *)out + f->offset;
 
 	switch (f->type) {
 	case BH__FIELD_STRING:
-		return read_string_(f, value, where, at, error);
+		return read_string_(f, value, where, dest, error);
 	case BH__FIELD_U64:
-		return read_u64_(f, value, where, (uint64_t *)(void *)at, error);
+		return read_u64_(f, value, where, (uint64_t *)(void *)dest, error);
 	case BH__FIELD_REAL:
-		return read_real_(f, value, where, (double *)(void *)at, error);
+		return read_real_(f, value, where, (double *)(void *)dest, error);
 	case BH__FIELD_LIST:
-		return read_list_(f, value, where, (char ***)(void *)at, error);
+		return read_list_(f, value, where, (char ***)(void *)dest, error);
 	case BH__FIELD_BOOL:
 		if (!json_object_is_type(value, json_type_boolean))
-			return wrong_type_(f, where, "true or false", error);
-		*(bool *)at = json_object_get_boolean(value);
+			return set_type_error_(f, where, "true or false", error);
+		*(bool *)dest = json_object_get_boolean(value);
 		return true;
 	}
 	return false;
 }
 
-static bool wrong_type_(const BH__Field *f, const char *where, const char *wanted, GError **error)
+/* Sets an error that names the type that the field requires. Always returns false. */
+static bool set_type_error_(const BH__Field *f, const char *where, const char *wanted, GError **error)
 {
 	g_set_error(error, BH__INPUT_ERROR, BH__INPUT_ERROR_FIELD, "%s: field \"%s\": must be %s", where, f->name,
 				wanted);
 	return false;
 }
 
+/* Copies a string to `out`. Returns false with an error if it does not fit, terminator included. */
 static bool read_string_(const BH__Field *f, struct json_object *value, const char *where, char *out,
 						 GError **error)
 {
 	if (!json_object_is_type(value, json_type_string))
-		return wrong_type_(f, where, "a string", error);
+		return set_type_error_(f, where, "a string", error);
 	if ((uint64_t)json_object_get_string_len(value) >= f->max) {
 		g_set_error(error, BH__INPUT_ERROR, BH__INPUT_ERROR_FIELD, "%s: field \"%s\": longer than %u bytes",
 					where, f->name, (unsigned)(f->max - 1));
@@ -151,13 +160,14 @@
 	return true;
 }
 
+/* Stores an integer in `out`. Returns false with an error if it is out of bounds. */
 static bool read_u64_(const BH__Field *f, struct json_object *value, const char *where, uint64_t *out,
 					  GError **error)
 {
 	int64_t n;
 
 	if (!json_object_is_type(value, json_type_int))
-		return wrong_type_(f, where, "a whole number", error);
+		return set_type_error_(f, where, "a whole number", error);
 	n = json_object_get_int64(value);
 	if (n < 0 || (uint64_t)n < f->min || (uint64_t)n > f->max) {
 		g_set_error(error, BH__INPUT_ERROR, BH__INPUT_ERROR_FIELD,
@@ -170,13 +180,14 @@
 	return true;
 }
 
+/* Stores a number in `out`. Returns false with an error if it is out of bounds or NaN. */
 static bool read_real_(const BH__Field *f, struct json_object *value, const char *where, double *out,
 					   GError **error)
 {
 	double n;
 
 	if (!json_object_is_type(value, json_type_double) && !json_object_is_type(value, json_type_int))
-		return wrong_type_(f, where, "a number", error);
+		return set_type_error_(f, where, "a number", error);
 	n = json_object_get_double(value);
 	if (!(n >= (double)f->min && n <= (double)f->max)) {
 		g_set_error(error, BH__INPUT_ERROR, BH__INPUT_ERROR_FIELD, "%s: field \"%s\": %g is outside %g..%g",
@@ -187,13 +198,15 @@
 	return true;
 }
 
+/* Replaces the list in `out` with a copy of a JSON array of strings and frees the former list. Returns false
+ * with an error, and leaves `out` unchanged, if the array is too long or holds another type. */
 static bool read_list_(const BH__Field *f, struct json_object *value, const char *where, char ***out,
 					   GError **error)
 {
 	size_t n;
 
 	if (!json_object_is_type(value, json_type_array))
-		return wrong_type_(f, where, "a list of strings", error);
+		return set_type_error_(f, where, "a list of strings", error);
 	n = json_object_array_length(value);
 	if (n > f->max) {
 		g_set_error(error, BH__INPUT_ERROR, BH__INPUT_ERROR_FIELD, "%s: field \"%s\": more than %u entries",
@@ -202,7 +215,7 @@
 	}
 	for (size_t i = 0; i < n; i++)
 		if (!json_object_is_type(json_object_array_get_idx(value, i), json_type_string))
-			return wrong_type_(f, where, "a list of strings", error);
+			return set_type_error_(f, where, "a list of strings", error);
 	g_strfreev(*out);
 	*out = g_new0(char *, n + 1);
 	for (size_t i = 0; i < n; i++)
@@ -210,7 +223,9 @@
 	return true;
 }
 
-/* Returns the line of `text` on which the field that an error `message` quotes stands as a key, or 0. */
+/* Extracts the field name that `message` quotes as `field "NAME"` and returns the number of the first line of
+ * `text` with an object key of this name. Returns 0 if the message quotes no field or the text has no such
+ * key. */
 unsigned bh__field_find_line(const char *text, const char *message)
 {
 	const char *open = strstr(message, "field \"");
@@ -227,7 +242,7 @@
 			continue;
 		after += strspn(after, " \t\r\n");
 		if (*after == ':')
-			return line_at_(text, (size_t)(p - text));
+			return get_line_number_(text, (size_t)(p - text));
 	}
 	return 0;
 }
--- a/src/libbayhoist/resource.c
+++ b/src/libbayhoist/resource.c
@@ -1,12 +1,12 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The field tables of each kind of resource, and reading one resource. */
+/* Field tables of the resource kinds, and construction of a resource from its spec. */
 #include "bayhoist/resource.h"
 
 #include <string.h>
 #include "bayhoist/hash.h"
 #include "bayhoist/pool.h"
 
-#define MAX_BYTES_ (UINT64_C(1) << 50)
+#define MAX_BYTES_ (UINT64_C(1) << 50) /* bound of memory sizes, bytes */
 
 const char *const BH__KindString[] = {"model",    "version",  "adapter", "role", "account",
 									  "priority", "endpoint", "policy",  "hall"};
@@ -82,7 +82,7 @@
 static bool check_name_(const char *name, GError **error);
 static bool check_address_(const BH__Resource *r, GError **error);
 
-/* Reads a kind's name. Returns false if there is no such kind. */
+/* Converts the name of a kind. Returns false and leaves `kind` unchanged if the name is unknown. */
 bool bh__kind_parse(const char *text, BH__Kind *kind)
 {
 	for (int k = 0; k < BH__KIND_COUNT; k++) {
@@ -94,7 +94,7 @@
 	return false;
 }
 
-/* Sets the policy that is in force where none is configured. */
+/* Initializes `policy` with the defaults that apply if no policy is configured. */
 void bh__policy_init(BH__Policy *policy)
 {
 	policy->long_tokens = 102400;
@@ -106,7 +106,8 @@
 	policy->retry_share = 0.1;
 }
 
-/* Makes a resource from its spec. Returns NULL with an error that names the field and the cause. */
+/* Creates a resource of generation 1 from its spec; the caller frees it with bh__resource_delete(). If the
+ * name or the spec is invalid, returns NULL and sets an error that names the field and the cause. */
 BH__Resource *bh__resource_new(BH__Kind kind, const char *name, struct json_object *spec, GError **error)
 {
 	BH__Resource *r;
@@ -132,6 +133,7 @@
 	return r;
 }
 
+/* Returns false with an error if the name is empty, too long or holds a character that is not permitted. */
 static bool check_name_(const char *name, GError **error)
 {
 	size_t len = strlen(name);
@@ -144,6 +146,7 @@
 	return false;
 }
 
+/* Returns false with an error unless the endpoint's address ends in a colon and a port number. */
 static bool check_address_(const BH__Resource *r, GError **error)
 {
 	const char *colon = strrchr(r->as.endpoint.address, ':');
@@ -157,6 +160,7 @@
 	return false;
 }
 
+/* Sets the optional fields of a spec whose default is not 0. */
 static void set_defaults_(BH__Resource *r)
 {
 	switch (r->kind) {
@@ -186,7 +190,7 @@
 	}
 }
 
-/* Frees a resource and the lists in its spec; NULL is allowed. */
+/* Frees a resource and the lists in its spec. Does nothing if `r` is NULL. */
 void bh__resource_delete(BH__Resource *r)
 {
 	if (!r)
