--- a/src/libbayhoist/catalog.c
+++ b/src/libbayhoist/catalog.c
@@ -298,8 +298,8 @@
 	return g_string_free(out, FALSE);
 }
 
-/* Replaces the resources of one chunk with those in `text`. Returns false and sets an error if the text is
- * malformed or a spec is invalid; the chunk may then be partly read. */
+/* Replaces the resources of one chunk with those in `text`. Returns false if the text is malformed or a spec
+ * is invalid; the chunk may then be partly read. `error` is set unless an item lacks its name or spec. */
 bool bh__catalog_read_chunk(BH__Catalog *c, unsigned chunk, const char *text, size_t len, GError **error)
 {
 	BH__Kind kind = (BH__Kind)(chunk / BH__CHUNKS_PER_KIND);
--- a/src/libbayhoist/store.c
+++ b/src/libbayhoist/store.c
@@ -33,8 +33,8 @@
 static void finish_call_(BH__Store *s, const BH__StoreReply *reply, uint64_t now_us);
 static void extend_backoff_(BH__Store *s, uint64_t now_us);
 
-/* Returns a client that limits its reads and writes to the given rates, in calls per second. After an idle
- * period it may send a burst worth ten seconds of the rate. */
+/* Returns a client that limits reads and writes to the given rates, in calls per second; lease operations
+ * count as writes. After an idle period it may send a burst worth ten seconds of the rate. */
 BH__Store *bh__store_new(BH__StorePort *port, double reads_per_s, double writes_per_s)
 {
 	BH__Store *s = g_new0(BH__Store, 1);
@@ -45,7 +45,7 @@
 	return s;
 }
 
-/* Frees the client. Callbacks of pending calls are not invoked. */
+/* Frees the client without calling the callbacks of pending calls. */
 void bh__store_delete(BH__Store *s)
 {
 	g_hash_table_unref(s->pending);
