--- a/include/bayhoist/field.h
+++ b/include/bayhoist/field.h
@@ -1,6 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Table-driven decoding of JSON objects into structs, with validation. Used for settings and for resources.
- */
+/* Table-driven decoding of JSON objects into structs, with validation. Used for settings and resources. */
 #ifndef BAYHOIST_FIELD_H
 #define BAYHOIST_FIELD_H
 
--- a/include/bayhoist/resource.h
+++ b/include/bayhoist/resource.h
@@ -51,8 +51,8 @@
 typedef struct {
 	uint64_t weight;             /* relative share of the account under overload */
 	uint64_t tokens_per_s;       /* rate limit over the whole fleet; 0: unlimited */
-	uint64_t burst_tokens;       /* tokens that a burst may use above the rate */
-	char priority[BH__NAME_LEN]; /* name of a BH__Priority; empty: none */
+	uint64_t burst_tokens;       /* token bucket capacity; raised to a minimum burst at the rate if smaller */
+	char priority[BH__NAME_LEN]; /* name of a priority; empty: none */
 	char **key_sha256;           /* SHA-256 hashes of the API keys, lower-case hexadecimal; NULL: none */
 	bool is_operator;            /* field `operator` of the spec */
 } BH__Account;
@@ -67,7 +67,7 @@
 typedef struct {
 	char address[BH__ADDRESS_LEN]; /* IP:port */
 	char hall[BH__NAME_LEN];
-	char role[BH__NAME_LEN]; /* name of a BH__Role; empty: none */
+	char role[BH__NAME_LEN]; /* name of a role; empty: none */
 	char model[BH__NAME_LEN];
 	char version[BH__NAME_LEN]; /* desired version; empty: the version is not managed */
 	char **adapters;            /* names of adapters; NULL: none */
@@ -92,8 +92,7 @@
 
 /* A data hall. */
 typedef struct {
-	bool draining; /* no endpoint of the hall receives new work; applies also to endpoints that are added
-					  later */
+	bool draining; /* its endpoints receive no new work, including those that are added later */
 } BH__Hall;
 
 /* A resource with its spec, decoded and as text. */
--- a/include/bayhoist/store.h
+++ b/include/bayhoist/store.h
@@ -1,7 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
 /* Client of the platform's key-value store. The application supplies a port that carries calls to the store.
- * The client enforces the call budget, applies time-outs and dispatches each reply to the owner of its call.
- */
+ * The client enforces the call budget, applies time-outs and passes each reply to the owner of its call. */
 #ifndef BAYHOIST_STORE_H
 #define BAYHOIST_STORE_H
 
@@ -14,7 +13,7 @@
 	BH__STORE_PUT,
 	BH__STORE_CAS, /* compare-and-swap: put if the key's mod_revision is `expect_revision` */
 	BH__STORE_LEASE_GRANT,
-	BH__STORE_LEASE_KEEP /* renew a lease */
+	BH__STORE_LEASE_KEEP
 } BH__StoreOp;
 
 /* Result of a call. */
