--- a/include/bayhoist/packed_text.h
+++ b/include/bayhoist/packed_text.h
@@ -15,9 +15,9 @@
 	uint32_t text_len; /* length of the uncompressed text, bytes */
 } BH__PackedText;
 
-void bh__packed_text_set(BH__PackedText *p, const char *text);
+void bh__packed_text_compress(BH__PackedText *p, const char *text);
 void bh__packed_text_copy(BH__PackedText *p, const BH__PackedText *from);
 void bh__packed_text_clear(BH__PackedText *p);
-char *bh__packed_text_open(const BH__PackedText *p);
+char *bh__packed_text_decompress(const BH__PackedText *p);
 
 #endif
--- a/include/bayhoist/store.h
+++ b/include/bayhoist/store.h
@@ -13,16 +13,16 @@
 	BH__STORE_PUT,
 	BH__STORE_CAS, /* compare-and-swap: put if the key's mod_revision is `expect_revision` */
 	BH__STORE_LEASE_GRANT,
-	BH__STORE_LEASE_KEEP
+	BH__STORE_LEASE_RENEW
 } BH__StoreOp;
 
 /* Result of a call. */
 typedef enum {
 	BH__STORE_OK,
-	BH__STORE_ABSENT,   /* the key does not exist */
-	BH__STORE_CONFLICT, /* the comparison failed; nothing was written */
-	BH__STORE_NOT_SENT, /* rejected by the call budget or the back-off; nothing was written */
-	BH__STORE_UNKNOWN   /* no reply; the call may have taken effect or may still do so */
+	BH__STORE_NOT_FOUND, /* the key does not exist */
+	BH__STORE_CONFLICT,  /* the comparison failed; nothing was written */
+	BH__STORE_NOT_SENT,  /* rejected by the call budget or the back-off; nothing was written */
+	BH__STORE_UNKNOWN    /* no reply; the call may have taken effect or may still do so */
 } BH__StoreStatus;
 
 /* A call to the store. Fields that the operation does not use are 0 or NULL. */
@@ -62,7 +62,7 @@
 void bh__store_call(BH__Store *s, BH__StoreCall *call, BH__StoreDone done, void *owner, uint64_t now_us);
 void bh__store_process_reply(BH__Store *s, const BH__StoreReply *reply, uint64_t now_us);
 void bh__store_process_tick(BH__Store *s, uint64_t now_us);
-void bh__store_forget(BH__Store *s, const void *owner);
-bool bh__store_is_up(const BH__Store *s);
+void bh__store_cancel_callbacks(BH__Store *s, const void *owner);
+bool bh__store_is_available(const BH__Store *s);
 
 #endif
--- a/src/bayhoistd/store.c
+++ b/src/bayhoistd/store.c
@@ -127,7 +127,7 @@
 		*path = "/v3/lease/grant";
 		add_number_(root, "TTL", call->ttl_s);
 		break;
-	case BH__STORE_LEASE_KEEP:
+	case BH__STORE_LEASE_RENEW:
 		*path = "/v3/lease/keepalive";
 		add_number_(root, "ID", (uint64_t)call->lease_id);
 		break;
@@ -206,9 +206,9 @@
 		reply->lease_id = (int64_t)get_number_(root, "ID");
 		reply->status = reply->lease_id ? BH__STORE_OK : BH__STORE_UNKNOWN;
 		break;
-	case BH__STORE_LEASE_KEEP:
-		reply->status =
-			get_number_(json_object_object_get(root, "result"), "TTL") > 0 ? BH__STORE_OK : BH__STORE_ABSENT;
+	case BH__STORE_LEASE_RENEW:
+		reply->status = get_number_(json_object_object_get(root, "result"), "TTL") > 0 ? BH__STORE_OK
+																					   : BH__STORE_NOT_FOUND;
 		break;
 	}
 	return NULL;
@@ -224,7 +224,7 @@
 
 	if (!json_object_object_get_ex(root, "kvs", &kvs) || !json_object_is_type(kvs, json_type_array) ||
 		json_object_array_length(kvs) == 0) {
-		reply->status = BH__STORE_ABSENT;
+		reply->status = BH__STORE_NOT_FOUND;
 		return NULL;
 	}
 	kv = json_object_array_get_idx(kvs, 0);
--- a/src/libbayhoist/config.c
+++ b/src/libbayhoist/config.c
@@ -134,10 +134,10 @@
  * compare-and-swap got no reply ends as BH__APPLY_UNKNOWN, any other as BH__APPLY_STORE_DOWN. */
 void bh__config_delete(BH__Config *c)
 {
-	bh__store_forget(c->store, c);
+	bh__store_cancel_callbacks(c->store, c);
 	while (c->applies->len) {
 		Apply_ *a = g_ptr_array_index(c->applies, 0);
-		bh__store_forget(c->store, a);
+		bh__store_cancel_callbacks(c->store, a);
 		apply_finish_(a, a->swap_unanswered ? BH__APPLY_UNKNOWN : BH__APPLY_STORE_DOWN,
 					  "the node is shutting down");
 	}
@@ -465,7 +465,7 @@
 		Apply_ *a = g_ptr_array_index(c->applies, i);
 		if (now_us < a->deadline_us)
 			continue;
-		bh__store_forget(c->store, a);
+		bh__store_cancel_callbacks(c->store, a);
 		apply_finish_(a, a->swap_unanswered ? BH__APPLY_UNKNOWN : BH__APPLY_STORE_DOWN,
 					  a->swap_unanswered ? "the store did not reply; retry with the same change id"
 										 : "the store could not be reached; nothing was changed");
@@ -502,7 +502,7 @@
 	Head_ head = {0};
 
 	a->pending_replies = 0;
-	if (reply->status == BH__STORE_ABSENT) {
+	if (reply->status == BH__STORE_NOT_FOUND) {
 		a->head_mod_revision = 0;
 		a->write_all_chunks = true;
 		apply_to_catalog_(a, now_us);
@@ -720,9 +720,9 @@
 {
 	BH__ApplyResult result = {.status = status, .revision = a->config->head.revision, .message = message};
 
-	bh__store_forget(a->config->store, a);
+	bh__store_cancel_callbacks(a->config->store, a);
 	for (guint i = 0; i < a->writes->len; i++)
-		bh__store_forget(a->config->store, g_ptr_array_index(a->writes, i));
+		bh__store_cancel_callbacks(a->config->store, g_ptr_array_index(a->writes, i));
 	g_ptr_array_unref(a->writes);
 	g_ptr_array_remove(a->config->applies, a);
 	a->done(a->ctx, &result);
--- a/src/libbayhoist/field.c
+++ b/src/libbayhoist/field.c
@@ -76,8 +76,8 @@
  * `out`. `where` names the object in error messages. On an unknown, missing, ill-typed or out-of-range field,
  * returns false and sets a BH__INPUT_ERROR_FIELD error; fields that precede it are already stored in `out`.
  */
-bool bh__fields_read(const BH__Field *fields, size_t count, struct json_object *object, const char *where,
-					 void *out, GError **error)
+bool bh__fields_decode(const BH__Field *fields, size_t count, struct json_object *object, const char *where,
+					   void *out, GError **error)
 {
 	if (!json_object_is_type(object, json_type_object)) {
 		g_set_error(error, BH__INPUT_ERROR, BH__INPUT_ERROR_FIELD, "%s: must be an object", where);
--- a/src/libbayhoist/node.c
+++ b/src/libbayhoist/node.c
@@ -604,5 +604,5 @@
 /* Returns false while the node backs off after a failed store operation. */
 bool bh__node_store_is_up(const BH__Node *n)
 {
-	return bh__store_is_up(n->store);
+	return bh__store_is_available(n->store);
 }
--- a/src/libbayhoist/orders.c
+++ b/src/libbayhoist/orders.c
@@ -89,7 +89,7 @@
 /* Frees a Lease_ and cancels the replies that it waits for. */
 static void free_lease_(gpointer lease)
 {
-	bh__store_forget(((Lease_ *)lease)->node->store, lease);
+	bh__store_cancel_callbacks(((Lease_ *)lease)->node->store, lease);
 	g_free(lease);
 }
 
@@ -269,7 +269,7 @@
 /* Requests a renewal of a lease that is held. */
 static void renew_(Lease_ *l)
 {
-	BH__StoreCall call = {.op = BH__STORE_LEASE_KEEP, .lease_id = l->lease_id};
+	BH__StoreCall call = {.op = BH__STORE_LEASE_RENEW, .lease_id = l->lease_id};
 
 	l->renewing = true;
 	l->called_us = l->node->now_us;
@@ -288,7 +288,7 @@
 		return;
 	if (reply->status == BH__STORE_OK)
 		l->valid_until_us = l->called_us + LEASE_TTL_S_ * BH__SECOND_US - LEASE_MARGIN_US_;
-	else if (reply->status == BH__STORE_ABSENT)
+	else if (reply->status == BH__STORE_NOT_FOUND)
 		drop_lease_(l, "lease-gone");
 }
 
--- a/src/libbayhoist/packed_text.c
+++ b/src/libbayhoist/packed_text.c
@@ -12,7 +12,7 @@
 #define COMPRESSION_LEVEL_ 1
 
 /* Compresses the NUL-terminated `text` into `p` and frees the text that `p` held before. */
-void bh__packed_text_set(BH__PackedText *p, const char *text)
+void bh__packed_text_compress(BH__PackedText *p, const char *text)
 {
 	size_t text_len = strlen(text);
 	uLongf len = compressBound(text_len);
@@ -43,7 +43,7 @@
 
 /* Returns the uncompressed, NUL-terminated text, which the caller frees with g_free(). Returns NULL if the
  * data is corrupt or the text exceeds BH__PACKED_TEXT_MAX. */
-char *bh__packed_text_open(const BH__PackedText *p)
+char *bh__packed_text_decompress(const BH__PackedText *p)
 {
 	uLongf len = p->text_len;
 	char *text;
--- a/src/libbayhoist/platform_sync.c
+++ b/src/libbayhoist/platform_sync.c
@@ -670,7 +670,7 @@
 static const BH__PackedText *packed_configuration_(BH__PlatformSync *l, uint64_t version)
 {
 	if (l->packed_version != version) {
-		bh__packed_text_set(&l->packed, l->port->get_configuration_text(l->port));
+		bh__packed_text_compress(&l->packed, l->port->get_configuration_text(l->port));
 		l->packed_version = version;
 	}
 	return &l->packed;
@@ -732,7 +732,7 @@
 		l->port->confirm_configuration(l->port, platform_read_us);
 	if (!m->as.sync.configuration.len || received_version <= version)
 		return;
-	text = bh__packed_text_open(&m->as.sync.configuration);
+	text = bh__packed_text_decompress(&m->as.sync.configuration);
 	bh__packed_text_copy(&l->packed,
 						 &m->as.sync.configuration); /* nodes that ask this one get it unchanged */
 	l->packed_version = received_version;
--- a/src/libbayhoist/resource.c
+++ b/src/libbayhoist/resource.c
@@ -122,7 +122,7 @@
 	r->generation = 1;
 	set_defaults_(r);
 	g_snprintf(where, sizeof where, "%s \"%s\"", BH__KindString[kind], name);
-	if (!bh__fields_read(Tables_[kind].fields, Tables_[kind].count, spec, where, &r->as, error) ||
+	if (!bh__fields_decode(Tables_[kind].fields, Tables_[kind].count, spec, where, &r->as, error) ||
 		(kind == BH__KIND_ENDPOINT && !check_address_(r, error))) {
 		bh__resource_delete(r);
 		return NULL;
--- a/src/libbayhoist/store.c
+++ b/src/libbayhoist/store.c
@@ -52,9 +52,9 @@
 	g_free(s);
 }
 
-/* Assigns `call` an id and sends it. `done` is called exactly once unless bh__store_forget() cancels it: from
- * within this function with BH__STORE_NOT_SENT if the budget or the back-off does not permit the call, with
- * BH__STORE_UNKNOWN if no reply arrives within the time-out, and otherwise with the reply. */
+/* Assigns `call` an id and sends it. `done` is called exactly once unless bh__store_cancel_callbacks()
+ * cancels it: from within this function with BH__STORE_NOT_SENT if the budget or the back-off does not permit
+ * the call, with BH__STORE_UNKNOWN if no reply arrives within the time-out, and otherwise with the reply. */
 void bh__store_call(BH__Store *s, BH__StoreCall *call, BH__StoreDone done, void *owner, uint64_t now_us)
 {
 	BH__Bucket *budget = call->op == BH__STORE_GET ? &s->reads : &s->writes;
@@ -132,7 +132,7 @@
 
 /* Cancels the callbacks of all pending calls of `owner`. The calls themselves may still take effect in the
  * store. */
-void bh__store_forget(BH__Store *s, const void *owner)
+void bh__store_cancel_callbacks(BH__Store *s, const void *owner)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -144,7 +144,7 @@
 }
 
 /* Returns true unless the last call that ended got no reply. */
-bool bh__store_is_up(const BH__Store *s)
+bool bh__store_is_available(const BH__Store *s)
 {
 	return s->backoff_us == 0;
 }
--- a/src/share/settings_file.c
+++ b/src/share/settings_file.c
@@ -18,7 +18,7 @@
 	if (!g_file_get_contents(path, &text, &len, error))
 		return false;
 	root = bh__json_parse(text, len, error);
-	ok = root && bh__fields_read(kind->fields, kind->field_count, root, "settings", settings, error) &&
+	ok = root && bh__fields_decode(kind->fields, kind->field_count, root, "settings", settings, error) &&
 		 kind->check(settings, error);
 	json_object_put(root);
 	if (!ok)
--- a/src/test_libbayhoist/test_inputs.c
+++ b/src/test_libbayhoist/test_inputs.c
@@ -375,21 +375,21 @@
 							   "\"target_ms\":300,\"event_gap_ms\":250,\"priority\":3,\"attempts\":2},",
 							   g_rand_int(rand), i % 40, g_rand_int(rand) & 0xffffff);
 	g_string_append(text, "{}]}");
-	bh__packed_text_set(&p, text->str);
+	bh__packed_text_compress(&p, text->str);
 	assert_true(p.len * 10 < text->len);
-	back = bh__packed_text_open(&p);
+	back = bh__packed_text_decompress(&p);
 	assert_string_equal(back, text->str);
 	g_free(back);
 
 	p.text_len--;
-	assert_null(bh__packed_text_open(&p));
+	assert_null(bh__packed_text_decompress(&p));
 	p.text_len = BH__PACKED_TEXT_MAX + 1;
-	assert_null(bh__packed_text_open(&p));
+	assert_null(bh__packed_text_decompress(&p));
 	p.text_len = (uint32_t)text->len;
 	p.data[p.len / 2] ^= 0x55;
-	assert_null(bh__packed_text_open(&p));
+	assert_null(bh__packed_text_decompress(&p));
 	bh__packed_text_clear(&p);
-	assert_null(bh__packed_text_open(&p));
+	assert_null(bh__packed_text_decompress(&p));
 	g_rand_free(rand);
 	g_string_free(text, TRUE);
 }
--- a/src/test_libbayhoist/world.c
+++ b/src/test_libbayhoist/world.c
@@ -568,7 +568,7 @@
 	switch (call->op) {
 	case BH__STORE_GET:
 		if (!entry) {
-			e->reply.status = BH__STORE_ABSENT;
+			e->reply.status = BH__STORE_NOT_FOUND;
 			break;
 		}
 		e->reply.mod_revision = entry->mod_revision;
@@ -593,12 +593,12 @@
 		expiry[1] = w->now_us + call->ttl_s * BH__SECOND_US;
 		g_hash_table_insert(w->leases, expiry, expiry);
 		break;
-	case BH__STORE_LEASE_KEEP:
+	case BH__STORE_LEASE_RENEW:
 		expiry = g_hash_table_lookup(w->leases, &lease);
 		if (expiry)
 			expiry[1] = w->now_us + 10 * BH__SECOND_US;
 		else
-			e->reply.status = BH__STORE_ABSENT;
+			e->reply.status = BH__STORE_NOT_FOUND;
 		break;
 	}
 }
