--- a/include/bayhoist/endpoint_signal.h
+++ b/include/bayhoist/endpoint_signal.h
@@ -1,30 +1,31 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Signals that endpoints give of themselves in the heads of their answers, beside what the platform tells of
- * them. Each is a number in a header; what is done about it is decided where it is taken. */
+/* Signals that endpoints send about themselves in the headers of their answers, in addition to what the
+ * platform reports about them. Each signal is a number in a header. This module only parses them. */
 #ifndef BAYHOIST_ENDPOINT_SIGNAL_H
 #define BAYHOIST_ENDPOINT_SIGNAL_H
 
 #include "bayhoist/types.h"
 
 typedef enum {
-	BH__SIGNAL_LIMIT,   /* requests a second that it takes of all nodes together */
-	BH__SIGNAL_LEAVING, /* not 0: it leaves, and nothing new is to go there */
-	BH__SIGNAL_BACKOFF, /* seconds for which it wants nothing of the node that it answers */
+	BH__SIGNAL_LIMIT,   /* requests per second that the endpoint accepts from all nodes together */
+	BH__SIGNAL_LEAVING, /* not 0: the endpoint shuts down and accepts no new requests */
+	BH__SIGNAL_BACKOFF, /* seconds for which the answered node should send no requests */
 	BH__SIGNAL_KIND_COUNT
 } BH__SignalKind;
 
+/* Names by BH__SignalKind. */
 extern const char *const BH__SignalKindString[];
 
 typedef enum {
-	BH__SIGNAL_ABSENT,
-	BH__SIGNAL_GIVEN,
-	BH__SIGNAL_UNREADABLE /* the header is there, and its value is no number or a negative one */
+	BH__SIGNAL_ABSENT,    /* the answer has no such header */
+	BH__SIGNAL_GIVEN,     /* the answer has a valid value */
+	BH__SIGNAL_UNREADABLE /* the value is not a number, or it is negative */
 } BH__SignalState;
 
 typedef struct {
 	BH__SignalState state;
-	double value;  /* if it is given */
-	char text[24]; /* as it came, cut short; for the log */
+	double value;  /* in the unit of the kind; 0 unless the state is BH__SIGNAL_GIVEN */
+	char text[24]; /* header value as received, truncated; for the log */
 } BH__Signal;
 
 void bh__signal_read(BH__Signal *s, BH__SignalKind kind, const char *value, double max);
--- a/include/bayhoist/hash.h
+++ b/include/bayhoist/hash.h
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Hashes: ids of names, rendezvous weights and the prefix hashes of a prompt. */
+/* Hash functions for ids of names, rendezvous weights and prefixes of a prompt. */
 #ifndef BAYHOIST_HASH_H
 #define BAYHOIST_HASH_H
 
@@ -9,9 +9,9 @@
 uint64_t bh__hash_name(const char *name);
 uint64_t bh__hash_pair(uint64_t a, uint64_t b);
 
-/* Hashes of a prompt's prefixes at growing lengths, longest last. `tokens[i]` is the length of prefix i. */
+/* Hashes of a prompt's prefixes, shortest first. bh__prefix_get_tokens(i) is the length of prefix i. */
 typedef struct {
-	uint8_t count;
+	uint8_t count; /* valid entries of `hash` */
 	uint64_t hash[BH__PREFIX_MAX];
 } BH__PrefixChain;
 
--- a/include/bayhoist/histogram.h
+++ b/include/bayhoist/histogram.h
@@ -1,15 +1,15 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Counts of times by powers of two of a millisecond. */
+/* Histogram of durations; the bucket limits are powers of two in milliseconds. */
 #ifndef BAYHOIST_HISTOGRAM_H
 #define BAYHOIST_HISTOGRAM_H
 
 #include "bayhoist/types.h"
 
-#define BH__HISTOGRAM_BUCKETS 22 /* up to 1, 2, 4, ... ms; the last holds the rest */
+#define BH__HISTOGRAM_BUCKETS 22 /* up to 1, 2, 4, ... ms; the last counts all longer durations */
 
 typedef struct {
-	uint64_t bucket[BH__HISTOGRAM_BUCKETS];
-	uint64_t count;
+	uint64_t bucket[BH__HISTOGRAM_BUCKETS]; /* durations in each bucket, not cumulative */
+	uint64_t count;                         /* durations in all buckets */
 	uint64_t sum_ms;
 } BH__Histogram;
 
--- a/include/bayhoist/named_limit.h
+++ b/include/bayhoist/named_limit.h
@@ -1,7 +1,8 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* A limit that an endpoint names in its answers: the requests a second that it takes of all nodes together,
- * for as long as it says so. Answers are read in another order than they were made, so that only one to a
- * request which was sent after the limit was last heard shows that it has ended. */
+/* The rate limit that an endpoint advertises in its answers: the requests per second that it accepts from all
+ * nodes together. The limit ends when an answer does not repeat it. Answers may be read in another order than
+ * the endpoint made them, so only the answer to a request that was sent after the limit was last received
+ * shows that the limit has ended. */
 #ifndef BAYHOIST_NAMED_LIMIT_H
 #define BAYHOIST_NAMED_LIMIT_H
 
@@ -10,8 +11,8 @@
 
 typedef struct {
 	bool in_force;
-	double per_s;      /* while it is in force */
-	uint64_t heard_us; /* when an answer was last read that named it */
+	double per_s;      /* requests per second; valid while in_force */
+	uint64_t heard_us; /* when the last answer with a limit was read; 0: never */
 } BH__NamedLimit;
 
 bool bh__named_limit_hear(BH__NamedLimit *l, double per_s, uint64_t heard_us);
--- a/src/libbayhoist/endpoint_rate.c
+++ b/src/libbayhoist/endpoint_rate.c
@@ -1,58 +1,62 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Rates of requests to endpoints. */
+/* Request rate limits of endpoints. */
 #include "bayhoist/endpoint_rate.h"
 
 #include <glib.h>
 
-#define BURST_ 2.0 /* requests that may come at once after a pause */
-/* An endpoint that takes none gets a request this often, since its answer alone tells that it takes some. */
+#define BURST_ 2.0 /* requests that may be sent at once after a pause */
+/* Requests per second to an endpoint that advertises a limit of 0. Only its answer to a request can show that
+ * it accepts requests again. */
 #define PROBES_PER_S_ 0.1
-/* A home that is new has this part of the rate until all nodes know of it. Until then the one before may
- * still grant, if it is cut off from some. */
-#define NEW_HOME_PART_ 0.4
+/* Share of the rate that a new home grants for its first NEW_HOME_US_, until all nodes know of it. During
+ * that time the previous home may still grant requests if it is partitioned from some nodes. */
+#define NEW_HOME_SHARE_ 0.4
 #define NEW_HOME_US_ (4 * BH__SECOND_US)
 
 static bool is_in_force_(const BH__Limit *l, uint64_t now_us);
-static void follow_(BH__EndpointRate *r, bool was_limited, uint64_t now_us);
+static void update_bucket_(BH__EndpointRate *r, bool was_limited, uint64_t now_us);
 
+/* Returns true if the limit is set and has not ended. */
 static bool is_in_force_(const BH__Limit *l, uint64_t now_us)
 {
 	return l->per_s > 0 && now_us < l->until_us;
 }
 
-/* Sets a limit of one kind; `per_s` 0: there is none. */
+/* Sets the limit of one kind to `per_s` requests per second until `until_us`; `per_s` 0 removes it. */
 void bh__endpoint_rate_set_limit(BH__EndpointRate *r, BH__LimitKind kind, double per_s, uint64_t until_us,
 								 uint64_t now_us)
 {
 	bool was_limited = bh__endpoint_rate_is_limited(r, now_us);
 
-	bh__bucket_spend(&r->requests, 0, now_us); /* what has gathered until now, at the rate of before */
+	bh__bucket_spend(&r->requests, 0, now_us); /* refills the bucket up to now at the old rate */
 	r->limit[kind] = (BH__Limit){.per_s = per_s, .until_us = until_us};
-	follow_(r, was_limited, now_us);
+	update_bucket_(r, was_limited, now_us);
 }
 
-/* Sets the limit that the endpoint has named. */
+/* Sets the limit that the endpoint advertises, or removes it if none is in force. A limit below PROBES_PER_S_
+ * is raised to that. */
 void bh__endpoint_rate_set_named(BH__EndpointRate *r, const BH__NamedLimit *named, uint64_t now_us)
 {
 	bh__endpoint_rate_set_limit(r, BH__LIMIT_NAMED, named->in_force ? MAX(named->per_s, PROBES_PER_S_) : 0,
 								BH__LIMIT_NO_END, now_us);
 }
 
-/* Sets the part of the rate that this node counts for. */
-void bh__endpoint_rate_set_part(BH__EndpointRate *r, double part, uint64_t now_us)
+/* Sets the share of the rate that this node grants, 0 to 1. */
+void bh__endpoint_rate_set_part(BH__EndpointRate *r, double share, uint64_t now_us)
 {
-	bool counted = r->part > 0;
+	bool was_home = r->part > 0;
 
-	if (r->part == part && r->requests.rate_per_s == bh__endpoint_rate_get_per_s(r, now_us) * part)
+	if (r->part == share && r->requests.rate_per_s == bh__endpoint_rate_get_per_s(r, now_us) * share)
 		return;
 	bh__bucket_spend(&r->requests, 0, now_us);
-	r->part = part;
-	follow_(r, counted && bh__endpoint_rate_is_limited(r, now_us), now_us);
+	r->part = share;
+	update_bucket_(r, was_home && bh__endpoint_rate_is_limited(r, now_us), now_us);
 }
 
-/* The limits or the part have changed. What was granted a moment before, by this node or another, is not
- * known, so that an endpoint which was not limited starts with nothing. */
-static void follow_(BH__EndpointRate *r, bool was_limited, uint64_t now_us)
+/* Updates the bucket after a change of the limits or of this node's share. The bucket of an endpoint that was
+ * not limited before starts empty, because the requests that this node or another granted just before were
+ * not counted. */
+static void update_bucket_(BH__EndpointRate *r, bool was_limited, uint64_t now_us)
 {
 	bh__bucket_set_rate(&r->requests, bh__endpoint_rate_get_per_s(r, now_us) * r->part, BURST_);
 	if (!was_limited) {
@@ -61,23 +65,24 @@
 	}
 }
 
+/* Returns true if any limit is in force. */
 bool bh__endpoint_rate_is_limited(const BH__EndpointRate *r, uint64_t now_us)
 {
 	return bh__endpoint_rate_get_per_s(r, now_us) > 0;
 }
 
-/* Returns the least of the limits that are in force, in requests a second; 0: there is none. */
+/* Returns the lowest limit that is in force, in requests per second of all nodes; 0: there is none. */
 double bh__endpoint_rate_get_per_s(const BH__EndpointRate *r, uint64_t now_us)
 {
-	double least = 0;
+	double min_per_s = 0;
 
 	for (int k = 0; k < BH__LIMIT_KIND_COUNT; k++)
-		if (is_in_force_(&r->limit[k], now_us) && (least <= 0 || r->limit[k].per_s < least))
-			least = r->limit[k].per_s;
-	return least;
+		if (is_in_force_(&r->limit[k], now_us) && (min_per_s <= 0 || r->limit[k].per_s < min_per_s))
+			min_per_s = r->limit[k].per_s;
+	return min_per_s;
 }
 
-/* Returns the time until this node may grant a request; BH__LIMIT_NO_END: another node counts. */
+/* Returns the time until this node may grant a request; BH__LIMIT_NO_END: only another node grants them. */
 uint64_t bh__endpoint_rate_get_wait_us(const BH__EndpointRate *r, uint64_t now_us)
 {
 	BH__Bucket b = r->requests;
@@ -96,29 +101,31 @@
 	return !bh__endpoint_rate_get_wait_us(r, now_us);
 }
 
-/* A request is granted. */
+/* Counts a request that this node has granted. */
 void bh__endpoint_rate_note(BH__EndpointRate *r, uint64_t now_us)
 {
 	if (bh__endpoint_rate_is_limited(r, now_us))
 		bh__bucket_spend(&r->requests, 1, now_us);
 }
 
-/* Grants a request that is to be sent in `*wait_us`, if that is no more than `patience_us`. Returns false
- * otherwise: nothing is granted, and one may ask again after that time. */
-bool bh__endpoint_rate_promise(BH__EndpointRate *r, uint64_t patience_us, uint64_t now_us, uint64_t *wait_us)
+/* Grants a request that the caller sends after `*wait_us`, if that is at most `max_wait_us`. Otherwise grants
+ * nothing and returns false; the caller may ask again after `*wait_us`. */
+bool bh__endpoint_rate_promise(BH__EndpointRate *r, uint64_t max_wait_us, uint64_t now_us, uint64_t *wait_us)
 {
 	*wait_us = bh__endpoint_rate_get_wait_us(r, now_us);
-	if (*wait_us > patience_us)
+	if (*wait_us > max_wait_us)
 		return false;
 	bh__endpoint_rate_note(r, now_us);
 	return true;
 }
 
-/* Returns the part of a rate that a home has: where nodes are lost, those may have a home of their own behind
- * a cut. `known` includes the lost ones, but not those that left; `since_us`: when this node became home. */
+/* Returns the share of a rate, 0 to 1, that a home may grant. Nodes that are unreachable may have a home of
+ * their own on the other side of a network partition, so the share is that of the reachable nodes. `alive`
+ * counts the reachable nodes; `known` counts the unreachable ones too, but not those that left. `since_us` is
+ * the time when this node became the home. */
 double bh__home_part(unsigned alive, unsigned known, uint64_t since_us, uint64_t now_us)
 {
-	double reached = (double)alive / MAX(MAX(known, alive), 1u);
+	double reachable_share = (double)alive / MAX(MAX(known, alive), 1u);
 
-	return now_us < since_us + NEW_HOME_US_ ? MIN(reached, NEW_HOME_PART_) : reached;
+	return now_us < since_us + NEW_HOME_US_ ? MIN(reachable_share, NEW_HOME_SHARE_) : reachable_share;
 }
--- a/src/libbayhoist/endpoint_signal.c
+++ b/src/libbayhoist/endpoint_signal.c
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The reading of signals. */
+/* Parsing of endpoint signals. */
 #include "bayhoist/endpoint_signal.h"
 
 #include <glib.h>
@@ -7,13 +7,14 @@
 
 const char *const BH__SignalKindString[] = {"limit", "leaving", "backoff"};
 
-/* Reads a header that gives a signal; more than `max` is taken for that. Of several in one answer the
- * strictest counts, and one that can't be read changes nothing about those that can. */
+/* Parses the value of a signal header into `s`. A value above `max` is reduced to `max`. If an answer has
+ * several headers of one kind, the strictest value counts: the lowest limit, or the highest value of another
+ * kind. An invalid value does not replace a valid one. */
 void bh__signal_read(BH__Signal *s, BH__SignalKind kind, const char *value, double max)
 {
-	char *rest = NULL;
-	double number = g_ascii_strtod(value, &rest);
-	bool is_number = rest != value && !rest[strspn(rest, " \t")] && number >= 0;
+	char *end = NULL;
+	double number = g_ascii_strtod(value, &end);
+	bool is_number = end != value && !end[strspn(end, " \t")] && number >= 0;
 	bool was_given = s->state == BH__SIGNAL_GIVEN;
 
 	if (was_given && !is_number)
--- a/src/libbayhoist/histogram.c
+++ b/src/libbayhoist/histogram.c
@@ -1,13 +1,15 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Histograms of times. */
+/* Histograms of durations. */
 #include "bayhoist/histogram.h"
 
-/* Returns the largest time that a bucket counts; that of the last bucket is not meant to be read. */
+/* Returns the longest duration that a bucket counts, in milliseconds. The last bucket has no such limit, so
+ * the value for it is meaningless. */
 uint64_t bh__histogram_get_limit_ms(unsigned bucket)
 {
 	return UINT64_C(1) << bucket;
 }
 
+/* Counts a duration of `time_us` microseconds. */
 void bh__histogram_add(BH__Histogram *h, uint64_t time_us)
 {
 	unsigned b = 0;
--- a/src/libbayhoist/named_limit.c
+++ b/src/libbayhoist/named_limit.c
@@ -1,25 +1,25 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Limits that endpoints name in their answers. */
+/* Rate limits that endpoints advertise in their answers. */
 #include "bayhoist/named_limit.h"
 
 #include <glib.h>
 
-/* An answer that was read at `heard_us` names a limit. Returns true if that changes what is known; older
- * news than is known changes nothing. */
+/* Merges a limit of `per_s` requests per second from an answer that was read at `heard_us`. Returns true if
+ * the limit has changed. A limit from an older answer than the last one is ignored. */
 bool bh__named_limit_hear(BH__NamedLimit *l, double per_s, uint64_t heard_us)
 {
-	bool changes = !l->in_force || l->per_s != per_s;
+	bool is_change = !l->in_force || l->per_s != per_s;
 
 	if (heard_us < l->heard_us)
 		return false;
 	l->in_force = true;
 	l->per_s = per_s;
 	l->heard_us = heard_us;
-	return changes;
+	return is_change;
 }
 
-/* The answer to a request that was sent at `sent_us` names none. Returns true if the limit has ended by that.
- */
+/* Handles an answer without a limit to a request that was sent at `sent_us`. Returns true if this ends the
+ * limit. */
 bool bh__named_limit_hear_none(BH__NamedLimit *l, uint64_t sent_us)
 {
 	if (!l->in_force || sent_us <= l->heard_us)
