--- a/src/test_libbayhoist/test_cold.c
+++ b/src/test_libbayhoist/test_cold.c
@@ -1,7 +1,8 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Endpoints that are cold bear so many requests a second, of all nodes together, and fall over at half as
- * many again and a few. Each of many nodes that were free to send one at once would bring one down. A request
- * is counted by the endpoint's home, which all nodes ask. */
+/* Tests of the request rate limit of cold endpoints. A cold endpoint bears a limited rate of requests from
+ * all nodes together, and fails at 1.5 times that rate plus a few requests. If each of many nodes could send
+ * a request without asking, they would overload it. The endpoint's home, which all nodes ask, counts the
+ * requests. */
 #include <glib.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -12,40 +13,41 @@
 #include "bayhoist/planner.h"
 #include "bayhoist/registry.h"
 
-#define PER_S 26.0
-#define OVER 1.5 /* times the rate, and so many, in any second, at which one falls over */
-#define SLACK 5
+#define COLD_RATE_PER_S 26.0 /* requests per second that a cold endpoint bears */
+#define OVERLOAD_FACTOR 1.5  /* an endpoint fails at this factor of the rate in any second */
+#define OVERLOAD_BURST 5     /* plus this number of requests */
 #define COLD_US (6 * BH__SECOND_US)
 #define STEP_US (10 * BH__MS_US)
 #define NOW_US (1000 * BH__SECOND_US)
 
 typedef struct {
-	BH__PlannerPort port; /* first */
+	BH__PlannerPort port; /* must be the first member */
 	BH__Planner *planner;
-	GArray *arrivals; /* uint64_t: moments */
+	GArray *arrivals; /* uint64_t: times at which requests are granted */
 	uint64_t now_us;
 	uint64_t next_ask;
 } Scheduler;
 
-static void note_(GArray *arrivals, uint64_t now_us)
+static void record_arrival_(GArray *arrivals, uint64_t now_us)
 {
 	g_array_append_val(arrivals, now_us);
 }
 
-/* Returns the most arrivals of any second. */
-static unsigned most_in_a_second_(const GArray *arrivals)
+/* Returns the largest number of arrivals in any second. */
+static unsigned max_per_second_(const GArray *arrivals)
 {
-	unsigned most = 0;
+	unsigned max_count = 0;
 
 	for (guint from = 0, to = 0; to < arrivals->len; to++) {
 		while (g_array_index(arrivals, uint64_t, to) - g_array_index(arrivals, uint64_t, from) >=
 			   BH__SECOND_US)
 			from++;
-		most = MAX(most, to - from + 1);
+		max_count = MAX(max_count, to - from + 1);
 	}
-	return most;
+	return max_count;
 }
 
+/* Adds or updates the endpoint's entry at a revision. */
 static void put_(BH__Registry *r, uint64_t revision, uint64_t cold_until_us)
 {
 	BH__EndpointEntry e = {.id = "i-1", .service = "web", .address = "1.1.1.1:1", .hall = "h1", .slots = 6};
@@ -56,27 +58,29 @@
 	bh__registry_set_place(r, place);
 }
 
-/* Every node of a fleet has requests for a plain service with one endpoint, all the time from a moment on,
- * and asks the one that is its home. */
+/* From `from_us` on, every node has requests at any time for a service with one endpoint that is no engine,
+ * and asks the endpoint's home. */
 static void ask_home_(BH__EndpointRate *rate, unsigned nodes, uint64_t from_us, GArray *arrivals)
 {
-	uint64_t *full_until_us = g_new0(uint64_t, nodes);
+	uint64_t *next_ask_us = g_new0(uint64_t, nodes);
 
 	for (uint64_t us = from_us; us < from_us + COLD_US; us += STEP_US) {
 		for (unsigned n = 0; n < nodes; n++) {
 			uint64_t wait_us;
-			if (us < full_until_us[n])
+			if (us < next_ask_us[n])
 				continue;
 			if (bh__endpoint_rate_promise(rate, 0, us, &wait_us))
-				note_(arrivals, us);
+				record_arrival_(arrivals, us);
 			else
-				full_until_us[n] = us + wait_us;
+				next_ask_us[n] = us + wait_us;
 		}
 	}
-	g_free(full_until_us);
+	g_free(next_ask_us);
 }
 
-static void no_fleet_brings_a_cold_endpoint_down_(void **state)
+/* Clusters of 1 to 1000 nodes send a cold endpoint no more requests than it bears, and at least 0.8 of its
+ * rate. */
+static void cold_endpoint_is_not_overloaded_(void **state)
 {
 	const unsigned counts[] = {1, 9, 85, 300, 1000};
 
@@ -86,27 +90,27 @@
 		BH__Registry *r = bh__registry_new(1);
 		BH__RegisteredEndpoint *e;
 		put_(r, 1, NOW_US + COLD_US);
-		bh__registry_set_cold_rate(r, "web", PER_S, NOW_US);
+		bh__registry_set_cold_rate(r, "web", COLD_RATE_PER_S, NOW_US);
 		e = bh__registry_get(r, 0);
-		assert_false(bh__endpoint_rate_admits(&e->rate, NOW_US)); /* but by its home */
+		assert_false(bh__endpoint_rate_admits(&e->rate, NOW_US)); /* only its home grants requests */
 		bh__endpoint_rate_set_part(&e->rate, bh__home_part(counts[i], counts[i], 0, NOW_US), NOW_US);
 		ask_home_(&e->rate, counts[i], NOW_US, arrivals);
-		print_message("%u nodes: %u requests in 6 s, %u in a second at most\n", counts[i], arrivals->len,
-					  most_in_a_second_(arrivals));
-		assert_true(most_in_a_second_(arrivals) <= PER_S * OVER + SLACK);
-		assert_true(arrivals->len >= PER_S * COLD_US / BH__SECOND_US * 0.8);
+		print_message("%u nodes: %u requests in 6 s, at most %u in a second\n", counts[i], arrivals->len,
+					  max_per_second_(arrivals));
+		assert_true(max_per_second_(arrivals) <= COLD_RATE_PER_S * OVERLOAD_FACTOR + OVERLOAD_BURST);
+		assert_true(arrivals->len >= COLD_RATE_PER_S * COLD_US / BH__SECOND_US * 0.8);
 		assert_true(bh__endpoint_rate_admits(&e->rate, NOW_US + COLD_US));
 		bh__registry_delete(r);
 		g_array_unref(arrivals);
 	}
 }
 
-/* An endpoint that was cold, has been used since, and turns cold again gets no more than the first time,
- * though each node could by now send it a request at once. */
-static void nor_one_that_turns_cold_again_(void **state)
+/* An endpoint that was cold becomes cold again after it was in use. It gets no more
+ * requests than the first time, although each node could send it a request at once by then. */
+static void endpoint_cold_again_is_not_overloaded_(void **state)
 {
 	const unsigned nodes = 1000;
-	const uint64_t again_us = NOW_US + 20 * BH__SECOND_US;
+	const uint64_t second_cold_us = NOW_US + 20 * BH__SECOND_US;
 	GArray *arrivals = g_array_new(FALSE, FALSE, sizeof(uint64_t));
 	BH__Registry *r = bh__registry_new(1);
 	BH__RegisteredEndpoint *e;
@@ -114,13 +118,14 @@
 	(void)state;
 	put_(r, 1, NOW_US + COLD_US);
 	e = bh__registry_get(r, 0);
-	bh__registry_set_cold_rate(r, "web", PER_S, NOW_US);
+	bh__registry_set_cold_rate(r, "web", COLD_RATE_PER_S, NOW_US);
 	bh__endpoint_rate_set_part(&e->rate, 1, NOW_US);
-	put_(r, 2, again_us + COLD_US);
-	bh__registry_set_cold_rate(r, "web", PER_S, again_us);
-	ask_home_(&e->rate, nodes, again_us, arrivals);
-	print_message("%u nodes, cold again: %u in a second at most\n", nodes, most_in_a_second_(arrivals));
-	assert_true(most_in_a_second_(arrivals) <= PER_S * OVER + SLACK);
+	put_(r, 2, second_cold_us + COLD_US);
+	bh__registry_set_cold_rate(r, "web", COLD_RATE_PER_S, second_cold_us);
+	ask_home_(&e->rate, nodes, second_cold_us, arrivals);
+	print_message("%u nodes, cold again: at most %u requests in a second\n", nodes,
+				  max_per_second_(arrivals));
+	assert_true(max_per_second_(arrivals) <= COLD_RATE_PER_S * OVERLOAD_FACTOR + OVERLOAD_BURST);
 	bh__registry_delete(r);
 	g_array_unref(arrivals);
 }
@@ -129,7 +134,7 @@
 {
 	Scheduler *s = (Scheduler *)port;
 
-	note_(s->arrivals, s->now_us);
+	record_arrival_(s->arrivals, s->now_us);
 	(void)g;
 }
 
@@ -159,11 +164,12 @@
 	(void)endpoint_id;
 }
 
-/* Engines answer at once here, so that no other limit holds. */
-static Scheduler *scheduler_new_(GArray *arrivals, uint64_t boot_id, double part)
+/* Creates the planner of one node. Engines answer at once, so no other limit applies. `share` is the share of
+ * the rate that the node grants; 0: the node does not schedule the service. */
+static Scheduler *scheduler_new_(GArray *arrivals, uint64_t boot_id, double share)
 {
 	const BH__Limit limit[BH__LIMIT_KIND_COUNT] = {
-		[BH__LIMIT_COLD] = {.per_s = PER_S, .until_us = NOW_US + COLD_US}};
+		[BH__LIMIT_COLD] = {.per_s = COLD_RATE_PER_S, .until_us = NOW_US + COLD_US}};
 	Scheduler *s = g_new0(Scheduler, 1);
 	BH__EngineModel m;
 
@@ -179,13 +185,14 @@
 	s->now_us = NOW_US;
 	s->planner = bh__planner_new(&s->port, 3, boot_id);
 	bh__planner_set_model(s->planner, &m);
-	bh__planner_set_alone(s->planner, part <= 0);
-	bh__planner_set_part(s->planner, part, NOW_US);
+	bh__planner_set_alone(s->planner, share <= 0);
+	bh__planner_set_part(s->planner, share, NOW_US);
 	bh__planner_set_limits(s->planner, 1, limit, NOW_US);
 	bh__planner_set_endpoint(s->planner, 1, 1, false, NOW_US);
 	return s;
 }
 
+/* Asks the scheduler for one request and reports its prefill as done if it is granted. */
 static void ask_(Scheduler *s, uint64_t now_us)
 {
 	BH__Ask a = {.ask_id = ++s->next_ask,
@@ -197,72 +204,74 @@
 				 .deadline_us = BH__SECOND_US,
 				 .first_event_us = 300 * BH__MS_US,
 				 .event_gap_us = 200 * BH__MS_US};
-	guint was = s->arrivals->len;
+	guint previous_count = s->arrivals->len;
 
 	s->now_us = now_us;
 	bh__planner_process_ask(s->planner, &a, now_us);
-	if (s->arrivals->len > was)
+	if (s->arrivals->len > previous_count)
 		bh__planner_process_progress(s->planner, 0, now_us);
 }
 
-/* One node schedules, another takes over from it in the middle of a second, of which the first does not hear,
- * and a tenth of all nodes decide alone all the while. */
-static void nor_do_schedulers_that_change_(void **state)
+/* One node schedules the service. Another node takes over in the middle of a second without notifying the
+ * first, and a tenth of all nodes decide without the scheduler during the whole test. */
+static void takeover_does_not_overload_cold_endpoint_(void **state)
 {
 	const unsigned counts[] = {9, 85, 300, 1000};
 
 	(void)state;
 	for (unsigned i = 0; i < G_N_ELEMENTS(counts); i++) {
 		GArray *arrivals = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-		unsigned alone_count = counts[i] / 10;
-		Scheduler **alone = g_new0(Scheduler *, alone_count + 1);
-		Scheduler *first = scheduler_new_(arrivals, 1, 1);
-		Scheduler *second = scheduler_new_(arrivals, 2, 0);
-		for (unsigned n = 0; n < alone_count; n++)
-			alone[n] = scheduler_new_(arrivals, 10 + n, 0);
+		unsigned local_count = counts[i] / 10;
+		Scheduler **local = g_new0(Scheduler *, local_count + 1);
+		Scheduler *previous = scheduler_new_(arrivals, 1, 1);
+		Scheduler *successor = scheduler_new_(arrivals, 2, 0);
+		for (unsigned n = 0; n < local_count; n++)
+			local[n] = scheduler_new_(arrivals, 10 + n, 0);
 		for (uint64_t us = NOW_US; us < NOW_US + COLD_US; us += STEP_US) {
 			if (us == NOW_US + COLD_US / 2)
-				bh__planner_set_alone(second->planner, false);
+				bh__planner_set_alone(successor->planner, false);
 			if (us >= NOW_US + COLD_US / 2)
-				bh__planner_set_part(second->planner,
+				bh__planner_set_part(successor->planner,
 									 bh__home_part(counts[i], counts[i], NOW_US + COLD_US / 2, us), us);
-			ask_(first, us);
-			ask_(second, us);
-			for (unsigned n = 0; n < alone_count; n++)
-				ask_(alone[n], us);
+			ask_(previous, us);
+			ask_(successor, us);
+			for (unsigned n = 0; n < local_count; n++)
+				ask_(local[n], us);
 		}
-		print_message("%u nodes: %u grants in 6 s, %u in a second at most\n", counts[i], arrivals->len,
-					  most_in_a_second_(arrivals));
-		assert_true(most_in_a_second_(arrivals) <= PER_S * OVER + SLACK);
-		assert_true(arrivals->len >= PER_S * COLD_US / BH__SECOND_US * 0.5);
-		for (unsigned n = 0; n < alone_count; n++) {
-			bh__planner_delete(alone[n]->planner);
-			g_free(alone[n]);
+		print_message("%u nodes: %u grants in 6 s, at most %u in a second\n", counts[i], arrivals->len,
+					  max_per_second_(arrivals));
+		assert_true(max_per_second_(arrivals) <= COLD_RATE_PER_S * OVERLOAD_FACTOR + OVERLOAD_BURST);
+		assert_true(arrivals->len >= COLD_RATE_PER_S * COLD_US / BH__SECOND_US * 0.5);
+		for (unsigned n = 0; n < local_count; n++) {
+			bh__planner_delete(local[n]->planner);
+			g_free(local[n]);
 		}
-		bh__planner_delete(first->planner);
-		bh__planner_delete(second->planner);
-		g_free(first);
-		g_free(second);
-		g_free(alone);
+		bh__planner_delete(previous->planner);
+		bh__planner_delete(successor->planner);
+		g_free(previous);
+		g_free(successor);
+		g_free(local);
 		g_array_unref(arrivals);
 	}
 }
 
+/* Returns the number of endpoint changes that the registry lists since a revision. */
 static unsigned count_changes_(const BH__Registry *r, uint64_t since)
 {
-	GArray *facts = g_array_new(FALSE, FALSE, sizeof(BH__EndpointFact));
+	GArray *changes = g_array_new(FALSE, FALSE, sizeof(BH__EndpointFact));
 	GArray *departures = g_array_new(FALSE, FALSE, sizeof(BH__EndpointDeparture));
 	unsigned count;
 
-	assert_true(bh__registry_list_changes(r, (BH__Place){.revision = since}, NOW_US, facts, departures));
-	count = facts->len;
-	g_array_unref(facts);
+	assert_true(bh__registry_list_changes(r, (BH__Place){.revision = since}, NOW_US, changes, departures));
+	count = changes->len;
+	g_array_unref(changes);
 	g_array_unref(departures);
 	return count;
 }
 
-/* That an endpoint turns cold is news, also a second time; that a little less is left of it is not. */
-static void turning_cold_is_news_(void **state)
+/* An endpoint that becomes cold is a change that nodes receive, also the second time. A small difference
+ * in the remaining time is not. */
+static void becoming_cold_is_a_change_(void **state)
 {
 	BH__Registry *r = bh__registry_new(1);
 	uint64_t version;
@@ -282,9 +291,10 @@
 	bh__registry_delete(r);
 }
 
-/* So is that it is warm before the time that it had told, as after an entry that was wrong: nodes that did
- * not hear of it would keep to the rate until then. That the time is over is not. */
-static void being_warm_early_is_news_(void **state)
+/* An endpoint that is warm before its announced time, for example after a wrong entry, is a change too: nodes
+ * that do not receive it would apply the cold rate until then. The end of the announced time is not a
+ * change. */
+static void becoming_warm_early_is_a_change_(void **state)
 {
 	BH__Registry *r = bh__registry_new(1);
 	uint64_t version;
@@ -311,11 +321,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(no_fleet_brings_a_cold_endpoint_down_),
-		cmocka_unit_test(nor_one_that_turns_cold_again_),
-		cmocka_unit_test(nor_do_schedulers_that_change_),
-		cmocka_unit_test(turning_cold_is_news_),
-		cmocka_unit_test(being_warm_early_is_news_),
+		cmocka_unit_test(cold_endpoint_is_not_overloaded_),
+		cmocka_unit_test(endpoint_cold_again_is_not_overloaded_),
+		cmocka_unit_test(takeover_does_not_overload_cold_endpoint_),
+		cmocka_unit_test(becoming_cold_is_a_change_),
+		cmocka_unit_test(becoming_warm_early_is_a_change_),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/test_libbayhoist/test_limits.c
+++ b/src/test_libbayhoist/test_limits.c
@@ -1,5 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Limits: account rates over many nodes while they come, go and are cut off; retries; at most once. */
+/* Tests of limits: account rates on many nodes that join, leave and are partitioned, retry budgets,
+ * at-most-once execution and memory budgets. */
 #include <glib.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -17,17 +18,17 @@
 #define ACCOUNT 42
 #define STEP_US (10 * BH__MS_US)
 
-/* Nine nodes' quotas, with homes on each side of a cut. Side of node i: side[i]; its home: home[side]. */
+/* The quotas of nine nodes, which a network partition divides into two sides with a home each. */
 typedef struct {
 	BH__Quota *quota[NODES];
 	bool alive[NODES];
-	int side[NODES];
-	int home[2];
-	double demand[NODES]; /* tokens a second */
-	double owed[NODES];
-	double admitted;
+	int side[NODES];       /* side of the partition, 0 or 1 */
+	int home[2];           /* index of the home node on each side */
+	double demand[NODES];  /* tokens per second */
+	double backlog[NODES]; /* tokens not yet requested */
+	double admitted;       /* tokens admitted in the current run */
 	uint64_t now_us;
-	double request_tokens;
+	double request_tokens; /* tokens of each request */
 } Fleet;
 
 static void fleet_init_(Fleet *f)
@@ -47,7 +48,8 @@
 		bh__quota_delete(f->quota[i]);
 }
 
-static void count_(const Fleet *f, int side, unsigned *alive, unsigned *lost)
+/* Counts the running nodes that are reachable from `side`, and those that are not. */
+static void count_nodes_(const Fleet *f, int side, unsigned *alive, unsigned *lost)
 {
 	*alive = 0;
 	*lost = 0;
@@ -59,6 +61,8 @@
 	}
 }
 
+/* Advances the simulation by STEP_US: each node requests the tokens of its demand and exchanges due asks and
+ * grants with its home. */
 static void step_(Fleet *f)
 {
 	static const BH__Account Account = {.weight = 1, .tokens_per_s = (uint64_t)RATE};
@@ -71,16 +75,16 @@
 		unsigned lost;
 		if (!f->alive[i])
 			continue;
-		f->owed[i] += f->demand[i] * STEP_US / 1e6;
-		while (f->owed[i] >= f->request_tokens) {
+		f->backlog[i] += f->demand[i] * STEP_US / 1e6;
+		while (f->backlog[i] >= f->request_tokens) {
 			uint64_t retry_us;
-			f->owed[i] -= f->request_tokens;
+			f->backlog[i] -= f->request_tokens;
 			if (bh__quota_take(f->quota[i], ACCOUNT, &Account, f->request_tokens, f->now_us, &retry_us) ==
 				BH__QUOTA_ADMIT)
 				f->admitted += f->request_tokens;
 		}
 		asks = bh__quota_get_asks(f->quota[i], f->now_us);
-		count_(f, f->side[i], &alive, &lost);
+		count_nodes_(f, f->side[i], &alive, &lost);
 		for (guint k = 0; k < asks->len; k++) {
 			BH__QuotaEntry e = g_array_index(asks, BH__QuotaEntry, k);
 			e.rate = bh__quota_allot(f->quota[home], (uint64_t)i + 1, 1, &e, RATE, alive, lost, f->now_us);
@@ -90,7 +94,7 @@
 	}
 }
 
-/* Runs for some seconds; returns the rate admitted over them as a share of the account's. */
+/* Runs the simulation for some seconds. Returns the admitted rate as a share of the account's rate. */
 static double run_(Fleet *f, unsigned seconds)
 {
 	f->admitted = 0;
@@ -99,26 +103,29 @@
 	return f->admitted / seconds / RATE;
 }
 
-static void rate_is_held_(void **state)
+/* The admitted rate matches the account's rate when the demand is three times the rate, and when the whole
+ * demand moves to one node. */
+static void rate_is_met_(void **state)
 {
 	Fleet f;
 
 	(void)state;
 	fleet_init_(&f);
 	for (int i = 0; i < NODES; i++)
-		f.demand[i] = RATE / 3; /* three times too much */
+		f.demand[i] = RATE / 3; /* three times the rate in total */
 	run_(&f, 10);
 	assert_true(run_(&f, 20) <= 1.05);
 	assert_true(run_(&f, 20) >= 0.95);
 	for (int i = 0; i < NODES; i++)
-		f.demand[i] = i == 4 ? RATE * 2 : 0; /* all of it moves to one node */
+		f.demand[i] = i == 4 ? RATE * 2 : 0; /* the whole demand moves to one node */
 	run_(&f, 15);
 	assert_true(run_(&f, 20) >= 0.95);
 	assert_true(run_(&f, 20) <= 1.05);
 	fleet_finish_(&f);
 }
 
-static void rate_is_held_while_nodes_come_and_go_(void **state)
+/* Nodes stop and start again one after another. */
+static void rate_is_met_while_nodes_join_and_leave_(void **state)
 {
 	Fleet f;
 	double sum = 0;
@@ -131,7 +138,7 @@
 	run_(&f, 10);
 	for (unsigned round = 0; round < Rounds; round++) {
 		int node = 1 + (int)(round % (NODES - 1));
-		f.alive[node] = false; /* stopped or replaced: the VM list shows it gone */
+		f.alive[node] = false; /* stopped or replaced: the VM list no longer has it */
 		bh__quota_delete(f.quota[node]);
 		f.quota[node] = bh__quota_new();
 		bh__quota_process_node_gone(f.quota[0], (uint64_t)node + 1, true, f.now_us);
@@ -144,7 +151,8 @@
 	fleet_finish_(&f);
 }
 
-static void rate_is_held_while_cut_(void **state)
+/* A network partition separates three of nine nodes, and ends. Both sides together keep to the rate. */
+static void rate_is_met_during_a_partition_(void **state)
 {
 	Fleet f;
 
@@ -152,7 +160,7 @@
 	fleet_init_(&f);
 	for (int i = 0; i < NODES; i++)
 		f.demand[i] = RATE / 3;
-	f.demand[8] = RATE * 3; /* the one that is cut off wants most */
+	f.demand[8] = RATE * 3; /* a node on the smaller side has the highest demand */
 	run_(&f, 15);
 	for (int i = 6; i < NODES; i++)
 		f.side[i] = 1;
@@ -171,37 +179,39 @@
 	fleet_finish_(&f);
 }
 
-static void an_outage_makes_no_storm_(void **state)
+/* Half of all attempts fail. A retry budget of 0.1 limits the attempts to 1.1 times the requests. */
+static void outage_causes_no_retry_storm_(void **state)
 {
 	BH__RetryBudget b;
 	unsigned sent = 0;
 
 	(void)state;
 	bh__retry_init(&b);
-	for (int i = 0; i < 10000; i++) { /* half of the engines are out: half of all attempts fail */
-		int tries = 1;
+	for (int i = 0; i < 10000; i++) { /* half of the engines are down: half of all attempts fail */
+		int attempts = 1;
 		bh__retry_note_first(&b, 0.1);
 		sent++;
-		while (tries < 8 && (i + tries) % 2 && bh__retry_take(&b)) {
+		while (attempts < 8 && (i + attempts) % 2 && bh__retry_take(&b)) {
 			sent++;
-			tries++;
+			attempts++;
 		}
 	}
 	assert_true(sent <= 11000 + 20);
 	assert_true(b.denied > 0);
 }
 
-static void once_remembers_and_forgets_safely_(void **state)
+/* A key that the table has evicted is reported as forgotten and never runs again. */
+static void idempotency_key_never_runs_twice_(void **state)
 {
 	BH__Once *o = bh__once_new(100, 1 << 20);
 	BH__OnceOutcome ran = {.verdict = BH__VERDICT_RAN, .answer = "yes", .answer_len = 3};
-	BH__OnceOutcome known;
+	BH__OnceOutcome finished;
 	uint64_t entry;
 	GRand *rand = g_rand_new_with_seed(3);
-	GHashTable *has_run = g_hash_table_new(g_direct_hash, g_direct_equal);
+	GHashTable *executed = g_hash_table_new(g_direct_hash, g_direct_equal);
 
 	(void)state;
-	for (int i = 0; i < 100000; i++) { /* keys from a small set, stamps old and new: none runs twice */
+	for (int i = 0; i < 100000; i++) { /* keys of a small set with old and new stamps: none runs twice */
 		guint key = (guint)g_rand_int_range(rand, 0, 1000);
 		char name[16];
 		static uint64_t stamp_of_key[1000];
@@ -209,14 +219,14 @@
 		if (!stamp_of_key[key])
 			stamp_of_key[key] = bh__once_issue(o);
 		g_snprintf(name, sizeof name, "k%u", key);
-		s = bh__once_claim(o, 1, name, key, stamp_of_key[key], &entry, &known);
+		s = bh__once_claim(o, 1, name, key, stamp_of_key[key], &entry, &finished);
 		if (s == BH__ONCE_RUN) {
-			assert_false(g_hash_table_contains(has_run, GUINT_TO_POINTER(key + 1)));
-			g_hash_table_add(has_run, GUINT_TO_POINTER(key + 1));
+			assert_false(g_hash_table_contains(executed, GUINT_TO_POINTER(key + 1)));
+			g_hash_table_add(executed, GUINT_TO_POINTER(key + 1));
 			bh__once_finish(o, entry, &ran);
 		}
 		else if (s == BH__ONCE_FINISHED) {
-			assert_memory_equal(known.answer, "yes", 3);
+			assert_memory_equal(finished.answer, "yes", 3);
 		}
 		else {
 			assert_int_equal(s, BH__ONCE_FORGOTTEN);
@@ -224,47 +234,50 @@
 	}
 	assert_true(bh__once_get_count(o) <= 100);
 	assert_true(bh__once_get_low_water(o) > 0);
-	g_hash_table_unref(has_run);
+	g_hash_table_unref(executed);
 	g_rand_free(rand);
 	bh__once_delete(o);
 }
 
-static void once_keeps_accounts_apart_(void **state)
+/* Accounts that use the same key do not affect each other. A key with another request hash, or with a stamp
+ * that this table has not issued, is not run. */
+static void idempotency_keys_are_per_account_(void **state)
 {
 	BH__Once *o = bh__once_new(10, 1000);
-	BH__OnceOutcome known;
+	BH__OnceOutcome finished;
 	uint64_t entry;
 	uint64_t stamp = bh__once_issue(o);
 
 	(void)state;
-	assert_int_equal(bh__once_claim(o, 1, "k", 5, stamp, &entry, &known), BH__ONCE_RUN);
-	assert_int_equal(bh__once_claim(o, 1, "k", 5, stamp, &entry, &known), BH__ONCE_RUNNING);
-	assert_int_equal(bh__once_claim(o, 1, "k", 6, stamp, &entry, &known), BH__ONCE_OTHER);
-	assert_int_equal(bh__once_claim(o, 2, "k", 5, stamp, &entry, &known), BH__ONCE_RUN);
-	assert_int_equal(bh__once_claim(o, 2, "new", 5, stamp + 1, &entry, &known), BH__ONCE_ELSEWHERE);
+	assert_int_equal(bh__once_claim(o, 1, "k", 5, stamp, &entry, &finished), BH__ONCE_RUN);
+	assert_int_equal(bh__once_claim(o, 1, "k", 5, stamp, &entry, &finished), BH__ONCE_RUNNING);
+	assert_int_equal(bh__once_claim(o, 1, "k", 6, stamp, &entry, &finished), BH__ONCE_OTHER);
+	assert_int_equal(bh__once_claim(o, 2, "k", 5, stamp, &entry, &finished), BH__ONCE_RUN);
+	assert_int_equal(bh__once_claim(o, 2, "new", 5, stamp + 1, &entry, &finished), BH__ONCE_ELSEWHERE);
 	bh__once_delete(o);
 }
 
-static void stamps_are_read_strictly_(void **state)
+/* A stamp that is written can be parsed, and malformed stamps are rejected. */
+static void stamps_are_parsed_strictly_(void **state)
 {
 	BH__Stamp s = {1, 2, 3};
 	char text[BH__STAMP_LEN];
-	BH__Stamp back;
+	BH__Stamp parsed;
 
 	(void)state;
 	bh__stamp_write(&s, text);
-	assert_true(bh__stamp_parse(text, &back));
-	assert_memory_equal(&s, &back, sizeof s);
-	assert_false(bh__stamp_parse("", &back));
-	assert_false(bh__stamp_parse("1-2", &back));
-	assert_false(bh__stamp_parse("1-2-3x", &back));
-	assert_false(bh__stamp_parse("0000000000000000000001-2-3", &back));
+	assert_true(bh__stamp_parse(text, &parsed));
+	assert_memory_equal(&s, &parsed, sizeof s);
+	assert_false(bh__stamp_parse("", &parsed));
+	assert_false(bh__stamp_parse("1-2", &parsed));
+	assert_false(bh__stamp_parse("1-2-3x", &parsed));
+	assert_false(bh__stamp_parse("0000000000000000000001-2-3", &parsed));
 }
 
-/* Callers that do not read, thousands of them, and requests that come faster than they go: what a VM of 160
- * MB keeps for them stays within a fixed share of its memory. Few callers have as much each as they ever had.
- */
-static void what_is_kept_for_others_is_bounded_(void **state)
+/* Thousands of callers do not read their answers, and requests arrive faster than they end. The memory that a
+ * VM of 160 MB uses for kept answers and requests stays within a fixed share of its memory. With few callers,
+ * each may use the full maximum. */
+static void memory_budget_is_bounded_(void **state)
 {
 	const unsigned connections[] = {1, 100, 1000, 3000, 10000};
 	const size_t max = 128 * 1024;
@@ -292,14 +305,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(what_is_kept_for_others_is_bounded_),
-		cmocka_unit_test(rate_is_held_),
-		cmocka_unit_test(rate_is_held_while_nodes_come_and_go_),
-		cmocka_unit_test(rate_is_held_while_cut_),
-		cmocka_unit_test(an_outage_makes_no_storm_),
-		cmocka_unit_test(once_remembers_and_forgets_safely_),
-		cmocka_unit_test(once_keeps_accounts_apart_),
-		cmocka_unit_test(stamps_are_read_strictly_),
+		cmocka_unit_test(memory_budget_is_bounded_),
+		cmocka_unit_test(rate_is_met_),
+		cmocka_unit_test(rate_is_met_while_nodes_join_and_leave_),
+		cmocka_unit_test(rate_is_met_during_a_partition_),
+		cmocka_unit_test(outage_causes_no_retry_storm_),
+		cmocka_unit_test(idempotency_key_never_runs_twice_),
+		cmocka_unit_test(idempotency_keys_are_per_account_),
+		cmocka_unit_test(stamps_are_parsed_strictly_),
 	};
 	return cmocka_run_group_tests_name("limits", tests, NULL, NULL);
 }
--- a/src/test_libbayhoist/test_named_limit.c
+++ b/src/test_libbayhoist/test_named_limit.c
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What is known of a limit that an endpoint names in its answers, which are read in any order. */
+/* Tests of the limit that an endpoint advertises, with answers that are read in any order. */
 #include <glib.h>
 #include <setjmp.h>
 #include <stdarg.h>
@@ -7,8 +7,8 @@
 #include <cmocka.h>
 #include "bayhoist/named_limit.h"
 
-/* Named, lower, higher, and no more. */
-static void a_limit_holds_until_an_answer_names_none_(void **state)
+/* An endpoint advertises a limit, repeats it, lowers it, raises it and ends it. */
+static void limit_stays_until_an_answer_has_none_(void **state)
 {
 	BH__NamedLimit l = {0};
 
@@ -23,8 +23,9 @@
 	assert_false(l.in_force);
 }
 
-/* An answer to a request that was sent before the limit was last heard may have been made before that. */
-static void a_late_answer_does_not_end_it_(void **state)
+/* The answer to a request that was sent before the limit was last received may be older than the limit, so
+ * its lack of a limit must not end it. */
+static void late_answer_does_not_end_limit_(void **state)
 {
 	BH__NamedLimit l = {0};
 
@@ -36,8 +37,8 @@
 	assert_true(bh__named_limit_hear_none(&l, 101));
 }
 
-/* News from another node may be older than what this one has heard. */
-static void older_news_change_nothing_(void **state)
+/* A limit that another node reports may be older than the one that this node has received itself. */
+static void older_limit_is_ignored_(void **state)
 {
 	BH__NamedLimit l = {0};
 
@@ -50,9 +51,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_limit_holds_until_an_answer_names_none_),
-		cmocka_unit_test(a_late_answer_does_not_end_it_),
-		cmocka_unit_test(older_news_change_nothing_),
+		cmocka_unit_test(limit_stays_until_an_answer_has_none_),
+		cmocka_unit_test(late_answer_does_not_end_limit_),
+		cmocka_unit_test(older_limit_is_ignored_),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
