--- a/include/bayhoist/endpoint_rate.h
+++ b/include/bayhoist/endpoint_rate.h
@@ -8,12 +8,12 @@
 #define BAYHOIST_ENDPOINT_RATE_H
 
 #include "bayhoist/bucket.h"
-#include "bayhoist/named_limit.h"
+#include "bayhoist/advertised_limit.h"
 
 /* Reason for a limit. */
 typedef enum {
-	BH__LIMIT_COLD,  /* the endpoint has just started; the rate is configured */
-	BH__LIMIT_NAMED, /* the endpoint advertises a limit in its answers */
+	BH__LIMIT_COLD,       /* the endpoint has just started; the rate is configured */
+	BH__LIMIT_ADVERTISED, /* the endpoint advertises a limit in its answers */
 	BH__LIMIT_KIND_COUNT
 } BH__LimitKind;
 
@@ -26,20 +26,20 @@
 
 typedef struct {
 	BH__Limit limit[BH__LIMIT_KIND_COUNT];
-	double part;         /* share of the rate that this node grants, 0 to 1; 0: another node grants all */
+	double rate_share;   /* share of the rate that this node grants, 0 to 1; 0: another node grants all */
 	BH__Bucket requests; /* requests that this node may still grant; negative: reserved for later */
 } BH__EndpointRate;
 
 void bh__endpoint_rate_set_limit(BH__EndpointRate *r, BH__LimitKind kind, double per_s, uint64_t until_us,
 								 uint64_t now_us);
-void bh__endpoint_rate_set_named(BH__EndpointRate *r, const BH__NamedLimit *named, uint64_t now_us);
-void bh__endpoint_rate_set_part(BH__EndpointRate *r, double share, uint64_t now_us);
+void bh__endpoint_rate_set_advertised(BH__EndpointRate *r, const BH__AdvertisedLimit *named, uint64_t now_us);
+void bh__endpoint_rate_set_rate_share(BH__EndpointRate *r, double share, uint64_t now_us);
 bool bh__endpoint_rate_is_limited(const BH__EndpointRate *r, uint64_t now_us);
 double bh__endpoint_rate_get_per_s(const BH__EndpointRate *r, uint64_t now_us);
 uint64_t bh__endpoint_rate_get_wait_us(const BH__EndpointRate *r, uint64_t now_us);
 bool bh__endpoint_rate_admits(const BH__EndpointRate *r, uint64_t now_us);
-void bh__endpoint_rate_note(BH__EndpointRate *r, uint64_t now_us);
-bool bh__endpoint_rate_promise(BH__EndpointRate *r, uint64_t max_wait_us, uint64_t now_us, uint64_t *wait_us);
-double bh__home_part(unsigned alive, unsigned known, uint64_t since_us, uint64_t now_us);
+void bh__endpoint_rate_count_request(BH__EndpointRate *r, uint64_t now_us);
+bool bh__endpoint_rate_reserve(BH__EndpointRate *r, uint64_t max_wait_us, uint64_t now_us, uint64_t *wait_us);
+double bh__home_rate_share(unsigned alive, unsigned known, uint64_t since_us, uint64_t now_us);
 
 #endif
--- a/include/bayhoist/endpoint_signal.h
+++ b/include/bayhoist/endpoint_signal.h
@@ -17,17 +17,17 @@
 extern const char *const BH__SignalKindString[];
 
 typedef enum {
-	BH__SIGNAL_ABSENT,    /* the answer has no such header */
-	BH__SIGNAL_GIVEN,     /* the answer has a valid value */
-	BH__SIGNAL_UNREADABLE /* the value is not a number, or it is negative */
+	BH__SIGNAL_ABSENT,  /* the answer has no such header */
+	BH__SIGNAL_PRESENT, /* the answer has a valid value */
+	BH__SIGNAL_INVALID  /* the value is not a number, or it is negative */
 } BH__SignalState;
 
 typedef struct {
 	BH__SignalState state;
-	double value;  /* in the unit of the kind; 0 unless the state is BH__SIGNAL_GIVEN */
+	double value;  /* in the unit of the kind; 0 unless the state is BH__SIGNAL_PRESENT */
 	char text[24]; /* header value as received, truncated; for the log */
 } BH__Signal;
 
-void bh__signal_read(BH__Signal *s, BH__SignalKind kind, const char *value, double max);
+void bh__signal_parse(BH__Signal *s, BH__SignalKind kind, const char *value, double max);
 
 #endif
--- a/include/bayhoist/quota.h
+++ b/include/bayhoist/quota.h
@@ -24,6 +24,6 @@
 double bh__quota_allot(BH__Quota *q, uint64_t node_id, uint64_t boot_id, const BH__QuotaEntry *ask,
 					   double rate, unsigned alive, unsigned lost, uint64_t now_us);
 void bh__quota_process_node_gone(BH__Quota *q, uint64_t node_id, bool certain, uint64_t now_us);
-void bh__quota_leave_home(BH__Quota *q, uint64_t account_id);
+void bh__quota_drop_home(BH__Quota *q, uint64_t account_id);
 
 #endif
--- a/include/bayhoist/registry.h
+++ b/include/bayhoist/registry.h
@@ -60,7 +60,7 @@
 typedef struct {
 	bool said_leaving;          /* to this node */
 	uint64_t leaving_told_node; /* the home that this node has told of that; 0: none */
-	BH__NamedLimit named;       /* limit, as far as this node has heard */
+	BH__AdvertisedLimit named;  /* limit, as far as this node has heard */
 	uint64_t named_told_us;     /* when this node last told its home of that */
 	bool spread_in_force;       /* what all were last told of the limit, as far as this node knows */
 	double spread_per_s;
@@ -132,7 +132,7 @@
 unsigned bh__registry_get_count(const BH__Registry *r);
 BH__RegisteredEndpoint *bh__registry_get(const BH__Registry *r, unsigned index);
 void bh__registry_set_cold_rate(BH__Registry *r, const char *service, double per_s, uint64_t now_us);
-bool bh__registered_endpoint_hear_limit(BH__RegisteredEndpoint *e, const BH__NamedLimit *told,
+bool bh__registered_endpoint_hear_limit(BH__RegisteredEndpoint *e, const BH__AdvertisedLimit *told,
 										uint64_t now_us);
 bool bh__registry_has_unlimited(const BH__Registry *r, const char *service, uint64_t now_us);
 uint64_t bh__registry_get_taking_us(const BH__Registry *r, const char *service, uint64_t now_us);
--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -766,7 +766,7 @@
 {
 	if (c->state != CALL_SENDING || c->paused || c->rule->repeat == BH__REPEAT_NEVER || c->judged)
 		return UINT64_MAX;
-	return c->heard_us +
+	return c->received_us +
 		   bh__response_max_wait_us(c->rule, c->service->is_engine, c->events.events && c->passing);
 }
 
@@ -838,7 +838,7 @@
 			sending_end(c, BH__DISPATCH_UNRESPONSIVE);
 			return;
 		}
-		c->heard_us = now_us; /* nowhere else to go: the endpoint is waited for */
+		c->received_us = now_us; /* nowhere else to go: the endpoint is waited for */
 		call_set_timer(c, now_us);
 	}
 	else if (c->state == CALL_ASKING && c->queued && now_us >= c->asked_us + QUEUED_REPEAT_MS * BH__MS_US) {
--- a/src/bayhoist-gate/call_internal.h
+++ b/src/bayhoist-gate/call_internal.h
@@ -42,7 +42,7 @@
 	uint64_t sent_us;
 	uint32_t pauses;           /* of the sending that is under way, between what came of the answer */
 	uint64_t longest_pause_us; /* between what the endpoints sent of the answer */
-	uint64_t heard_us;         /* when the endpoint last sent something of the answer */
+	uint64_t received_us;      /* when the endpoint last sent something of the answer */
 	bool judged;               /* the sending's end is known before its connection's */
 	BH__DispatchEnd judgement;
 	OutboundHead head;     /* of the answer; `headers` is our own copy */
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -232,7 +232,7 @@
 	uint64_t endpoint_id;
 	uint64_t life; /* of the endpoint when the request was sent, see bh__registry_note_start() */
 	uint64_t sent_us;
-	uint64_t heard_us;
+	uint64_t received_us;
 	int status;
 	bool is_served;         /* the endpoint ran what was asked: a limit that is not there is none any more */
 	const char *request_id; /* for the log */
--- a/src/bayhoist-gate/limits.c
+++ b/src/bayhoist-gate/limits.c
@@ -39,7 +39,7 @@
 		const BH__MemberInfo *info = bh__members_get(c->members, i);
 		known += info->state != BH__MEMBER_ALIVE && !info->leaving;
 	}
-	return bh__home_part(alive, known, since_us, now_us);
+	return bh__home_rate_share(alive, known, since_us, now_us);
 }
 
 /* The same for a service that nobody schedules; 0 if this node is not its home. */
@@ -103,9 +103,9 @@
 		bh__signal_relay_merge(c->signals->relay, n, now_us);
 	out.as.permit.ask_id = m->as.permit_ask.ask_id;
 	if (e) {
-		bh__endpoint_rate_set_part(&e->rate, home_part_(c, e->entry.service, now_us), now_us);
+		bh__endpoint_rate_set_rate_share(&e->rate, home_part_(c, e->entry.service, now_us), now_us);
 		out.as.permit.granted =
-			bh__endpoint_rate_promise(&e->rate, m->as.permit_ask.max_wait_us, now_us, &out.as.permit.wait_us);
+			bh__endpoint_rate_reserve(&e->rate, m->as.permit_ask.max_wait_us, now_us, &out.as.permit.wait_us);
 	}
 	if (!e || out.as.permit.wait_us == BH__LIMIT_NO_END)
 		out.as.permit.wait_us = OTHER_HOME_WAIT_US;
--- a/src/bayhoist-gate/memory.c
+++ b/src/bayhoist-gate/memory.c
@@ -37,7 +37,7 @@
 	unsigned count;
 	Part *part[BH__GRANT_MEMBERS_MAX];
 	uint64_t home; /* endpoint that answers */
-	uint64_t heard_us;
+	uint64_t received_us;
 	bool home_is_silent; /* a look at it was in vain, and it was not heard since */
 	Dial *dial;          /* to it; NULL: none */
 	struct event *timer;
@@ -74,7 +74,7 @@
 	h->done = done;
 	h->ctx = ctx;
 	h->home = grant->member[0].endpoint_id;
-	h->heard_us = clock_now_us();
+	h->received_us = clock_now_us();
 	h->timer = evtimer_new(g->base, on_timer_, h);
 	for (unsigned i = 1; i < grant->member_count; i++) {
 		const BH__RegisteredEndpoint *e = bh__registry_find(g->registry, grant->member[i].endpoint_id);
@@ -174,7 +174,7 @@
 		check_(h, true);
 		return;
 	}
-	if (clock_now_us() < h->heard_us + HEARD_MS * BH__MS_US)
+	if (clock_now_us() < h->received_us + HEARD_MS * BH__MS_US)
 		renew_(h);
 	else
 		look_at_home_(h);
@@ -220,7 +220,7 @@
 {
 	if (!h)
 		return;
-	h->heard_us = clock_now_us();
+	h->received_us = clock_now_us();
 	h->home_is_silent = false;
 }
 
--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/sending.c
@@ -42,7 +42,7 @@
 	c->state = CALL_SENDING;
 	c->endpoint_id = endpoint_id;
 	c->sent_us = clock_now_us();
-	c->heard_us = c->sent_us;
+	c->received_us = c->sent_us;
 	c->judged = false;
 	c->passing = false;
 	c->told_progress = false;
@@ -128,17 +128,17 @@
 	Call *c = ctx;
 	GString *headers = c->head.headers;
 
-	c->heard_us = clock_now_us();
+	c->received_us = clock_now_us();
 	c->head = *head;
 	c->head.headers = headers;
 	g_string_assign(headers, head->headers->str);
 	if (head->meta.has_load)
 		bh__registry_note_load(c->gate->registry, c->endpoint_id, head->meta.running, head->meta.waiting,
-							   c->heard_us);
+							   c->received_us);
 	c->judgement = judge_head_(c, &c->judged);
 	note_signals_(c);
 	c->passing = !c->judged && c->rule->streams && head->status / 100 == 2;
-	call_set_timer(c, c->heard_us);
+	call_set_timer(c, c->received_us);
 }
 
 /* Takes the signals of the answer's endpoint. An answer that another endpoint at its address gave says
@@ -150,7 +150,7 @@
 	AnswerOrigin origin = {.endpoint_id = c->endpoint_id,
 						   .life = c->endpoint_life,
 						   .sent_us = c->sent_us,
-						   .heard_us = c->heard_us,
+						   .received_us = c->received_us,
 						   .status = c->head.status,
 						   .is_served = !c->judged && m->mac[0],
 						   .request_id = c->request->meta.request_id};
@@ -172,8 +172,8 @@
 	now_us = clock_now_us();
 	memory_hold_note_heard(c->memory);
 	if (c->x.answer_begun)
-		note_pause_(c, now_us - c->heard_us);
-	c->heard_us = now_us;
+		note_pause_(c, now_us - c->received_us);
+	c->received_us = now_us;
 	evbuffer_add(c->body, data, len);
 	if (c->passing) {
 		pass_events_(c);
@@ -248,7 +248,7 @@
 		done += event_len;
 	}
 	evbuffer_drain(c->body, done);
-	call_set_timer(c, c->heard_us);
+	call_set_timer(c, c->received_us);
 }
 
 static void pass_on_(Call *c, const char *data, size_t len)
@@ -270,14 +270,14 @@
 	log_event("first-event",
 			  "request=%s took_ms=%" G_GUINT64_FORMAT " expected_ms=%" G_GUINT64_FORMAT
 			  " target_ms=%u parts=%u",
-			  c->request->meta.request_id, (c->heard_us - c->sent_us) / BH__MS_US,
+			  c->request->meta.request_id, (c->received_us - c->sent_us) / BH__MS_US,
 			  c->place.grant.expected_us / BH__MS_US, c->rule->target_ms, c->place.grant.member_count);
 	cluster_tell_progress(c->gate->cluster, c);
 }
 
 void sending_begin_answer(Call *c)
 {
-	uint64_t wait_us = c->heard_us - c->request->arrived_us;
+	uint64_t wait_us = c->received_us - c->request->arrived_us;
 
 	c->x.answer_begun = true;
 	c->x.may_have_run = true;
@@ -376,6 +376,6 @@
 	if (!c->paused || !c->out)
 		return;
 	c->paused = false;
-	c->heard_us = clock_now_us();
+	c->received_us = clock_now_us();
 	outbound_pause(c->out, false);
 }
--- a/src/bayhoist-gate/signals.c
+++ b/src/bayhoist-gate/signals.c
@@ -37,8 +37,8 @@
 		BH__RegisteredEndpoint *e = bh__registry_find(g->registry, o->endpoint_id);
 		if (!e || e->life != o->life)
 			return;
-		g->counters.signals[k] += s->state == BH__SIGNAL_GIVEN;
-		if (s->state != BH__SIGNAL_UNREADABLE) {
+		g->counters.signals[k] += s->state == BH__SIGNAL_PRESENT;
+		if (s->state != BH__SIGNAL_INVALID) {
 			Takers_[k](g, e, o, s);
 			continue;
 		}
@@ -51,12 +51,12 @@
 /* A limit ends by an answer that names none; a refusal that names none does not end it. */
 static void take_limit_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
 {
-	BH__NamedLimit heard = {.in_force = s->state == BH__SIGNAL_GIVEN, .per_s = s->value};
+	BH__AdvertisedLimit heard = {.in_force = s->state == BH__SIGNAL_PRESENT, .per_s = s->value};
 	double was_per_s = e->signals.named.in_force ? e->signals.named.per_s : -1;
 
 	if (!heard.in_force && !o->is_served)
 		return;
-	heard.heard_us = heard.in_force ? o->heard_us : o->sent_us;
+	heard.received_us = heard.in_force ? o->received_us : o->sent_us;
 	if (!bh__signal_relay_receive_limit(g->cluster->signals->relay, e, &heard, clock_now_us()))
 		return;
 	schedulers_follow_limits(g->cluster, e);
@@ -69,7 +69,7 @@
 /* A leaving ends by a later start alone: an answer that does not say it may have been made before. */
 static void take_leaving_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
 {
-	if (s->state != BH__SIGNAL_GIVEN || s->value <= 0 ||
+	if (s->state != BH__SIGNAL_PRESENT || s->value <= 0 ||
 		!bh__signal_relay_receive_leaving(g->cluster->signals->relay, e, clock_now_us()))
 		return;
 	log_event("signal", "kind=leaving what=heard endpoint=%s born_ms=%" G_GUINT64_FORMAT " request=%s",
@@ -81,16 +81,16 @@
  * when the answer was read, by a clock that does not stop while the node is suspended. */
 static void take_backoff_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
 {
-	uint64_t was_until_us = MAX(e->signals.backoff_until_us, o->heard_us);
-	uint64_t until_us = o->heard_us + (uint64_t)(s->value * BH__SECOND_US);
+	uint64_t was_until_us = MAX(e->signals.backoff_until_us, o->received_us);
+	uint64_t until_us = o->received_us + (uint64_t)(s->value * BH__SECOND_US);
 
-	if (s->state != BH__SIGNAL_GIVEN || o->status != REFUSED)
+	if (s->state != BH__SIGNAL_PRESENT || o->status != REFUSED)
 		return;
 	if (!bh__registered_endpoint_hear_backoff(e, until_us))
 		return;
 	log_event("signal",
 			  "kind=backoff what=heard endpoint=%s for_ms=%.0f was_ms=%" G_GUINT64_FORMAT " request=%s",
-			  e->entry.id, s->value * 1000, (was_until_us - o->heard_us) / BH__MS_US, o->request_id);
+			  e->entry.id, s->value * 1000, (was_until_us - o->received_us) / BH__MS_US, o->request_id);
 	if (!schedulers_has_service(g->cluster, e->entry.service)) /* a scheduler hears of it by the release */
 		bh__signal_relay_receive_overload(g->cluster->signals->relay, e, until_us, clock_now_us());
 }
--- a/src/bench/bench_limits.c
+++ b/src/bench/bench_limits.c
@@ -27,11 +27,11 @@
 
 static void limit_(BH__EndpointRate *r, double per_s, double part)
 {
-	const BH__NamedLimit named = {.in_force = true, .per_s = per_s};
+	const BH__AdvertisedLimit named = {.in_force = true, .per_s = per_s};
 
 	*r = (BH__EndpointRate){0};
-	bh__endpoint_rate_set_part(r, part, 0);
-	bh__endpoint_rate_set_named(r, &named, 0);
+	bh__endpoint_rate_set_rate_share(r, part, 0);
+	bh__endpoint_rate_set_advertised(r, &named, 0);
 }
 
 /* Returns the most arrivals of any span. */
@@ -62,7 +62,7 @@
 		unsigned node = (unsigned)g_rand_int_range(rand, 0, (gint32)busy);
 		uint64_t wait_us;
 		uint64_t at_us;
-		if (!bh__endpoint_rate_promise(&rate[way == WAY_HOME ? 0 : node], PATIENCE_US, (uint64_t)us,
+		if (!bh__endpoint_rate_reserve(&rate[way == WAY_HOME ? 0 : node], PATIENCE_US, (uint64_t)us,
 									   &wait_us))
 			continue;
 		at_us = (uint64_t)us + wait_us;
--- a/src/bench/bench_placement.c
+++ b/src/bench/bench_placement.c
@@ -327,7 +327,7 @@
 static void set_limits_(BH__Planner *p, const Limits *limits)
 {
 	const BH__Limit limit[BH__LIMIT_KIND_COUNT] = {
-		[BH__LIMIT_NAMED] = {.per_s = limits->per_s, .until_us = BH__LIMIT_NO_END}};
+		[BH__LIMIT_ADVERTISED] = {.per_s = limits->per_s, .until_us = BH__LIMIT_NO_END}};
 
 	bh__planner_set_rate_share(p, 1, 0);
 	for (unsigned i = 0; i < limits->engines; i++)
--- a/src/libbayhoist/endpoint_rate.c
+++ b/src/libbayhoist/endpoint_rate.c
@@ -35,21 +35,22 @@
 
 /* Sets the limit that the endpoint advertises, or removes it if none is in force. A limit below PROBES_PER_S_
  * is raised to that. */
-void bh__endpoint_rate_set_named(BH__EndpointRate *r, const BH__NamedLimit *named, uint64_t now_us)
+void bh__endpoint_rate_set_advertised(BH__EndpointRate *r, const BH__AdvertisedLimit *named, uint64_t now_us)
 {
-	bh__endpoint_rate_set_limit(r, BH__LIMIT_NAMED, named->in_force ? MAX(named->per_s, PROBES_PER_S_) : 0,
-								BH__LIMIT_NO_END, now_us);
+	bh__endpoint_rate_set_limit(r, BH__LIMIT_ADVERTISED,
+								named->in_force ? MAX(named->per_s, PROBES_PER_S_) : 0, BH__LIMIT_NO_END,
+								now_us);
 }
 
 /* Sets the share of the rate that this node grants, 0 to 1. */
-void bh__endpoint_rate_set_part(BH__EndpointRate *r, double share, uint64_t now_us)
+void bh__endpoint_rate_set_rate_share(BH__EndpointRate *r, double share, uint64_t now_us)
 {
-	bool was_home = r->part > 0;
+	bool was_home = r->rate_share > 0;
 
-	if (r->part == share && r->requests.rate_per_s == bh__endpoint_rate_get_per_s(r, now_us) * share)
+	if (r->rate_share == share && r->requests.rate_per_s == bh__endpoint_rate_get_per_s(r, now_us) * share)
 		return;
 	bh__bucket_spend(&r->requests, 0, now_us);
-	r->part = share;
+	r->rate_share = share;
 	update_bucket_(r, was_home && bh__endpoint_rate_is_limited(r, now_us), now_us);
 }
 
@@ -58,7 +59,7 @@
  * not counted. */
 static void update_bucket_(BH__EndpointRate *r, bool was_limited, uint64_t now_us)
 {
-	bh__bucket_set_rate(&r->requests, bh__endpoint_rate_get_per_s(r, now_us) * r->part, BURST_);
+	bh__bucket_set_rate(&r->requests, bh__endpoint_rate_get_per_s(r, now_us) * r->rate_share, BURST_);
 	if (!was_limited) {
 		r->requests.level = 0;
 		r->requests.updated_us = now_us;
@@ -102,7 +103,7 @@
 }
 
 /* Counts a request that this node has granted. */
-void bh__endpoint_rate_note(BH__EndpointRate *r, uint64_t now_us)
+void bh__endpoint_rate_count_request(BH__EndpointRate *r, uint64_t now_us)
 {
 	if (bh__endpoint_rate_is_limited(r, now_us))
 		bh__bucket_spend(&r->requests, 1, now_us);
@@ -110,12 +111,12 @@
 
 /* Grants a request that the caller sends after `*wait_us`, if that is at most `max_wait_us`. Otherwise grants
  * nothing and returns false; the caller may ask again after `*wait_us`. */
-bool bh__endpoint_rate_promise(BH__EndpointRate *r, uint64_t max_wait_us, uint64_t now_us, uint64_t *wait_us)
+bool bh__endpoint_rate_reserve(BH__EndpointRate *r, uint64_t max_wait_us, uint64_t now_us, uint64_t *wait_us)
 {
 	*wait_us = bh__endpoint_rate_get_wait_us(r, now_us);
 	if (*wait_us > max_wait_us)
 		return false;
-	bh__endpoint_rate_note(r, now_us);
+	bh__endpoint_rate_count_request(r, now_us);
 	return true;
 }
 
@@ -123,7 +124,7 @@
  * their own on the other side of a network partition, so the share is that of the reachable nodes. `alive`
  * counts the reachable nodes; `known` counts the unreachable ones too, but not those that left. `since_us` is
  * the time when this node became the home. */
-double bh__home_part(unsigned alive, unsigned known, uint64_t since_us, uint64_t now_us)
+double bh__home_rate_share(unsigned alive, unsigned known, uint64_t since_us, uint64_t now_us)
 {
 	double reachable_share = (double)alive / MAX(MAX(known, alive), 1u);
 
--- a/src/libbayhoist/endpoint_signal.c
+++ b/src/libbayhoist/endpoint_signal.c
@@ -10,12 +10,12 @@
 /* Parses the value of a signal header into `s`. A value above `max` is reduced to `max`. If an answer has
  * several headers of one kind, the strictest value counts: the lowest limit, or the highest value of another
  * kind. An invalid value does not replace a valid one. */
-void bh__signal_read(BH__Signal *s, BH__SignalKind kind, const char *value, double max)
+void bh__signal_parse(BH__Signal *s, BH__SignalKind kind, const char *value, double max)
 {
 	char *end = NULL;
 	double number = g_ascii_strtod(value, &end);
 	bool is_number = end != value && !end[strspn(end, " \t")] && number >= 0;
-	bool was_given = s->state == BH__SIGNAL_GIVEN;
+	bool was_given = s->state == BH__SIGNAL_PRESENT;
 
 	if (was_given && !is_number)
 		return;
@@ -24,6 +24,6 @@
 		number = kind == BH__SIGNAL_LIMIT ? MIN(number, s->value) : MAX(number, s->value);
 	if (!was_given || number != s->value)
 		g_strlcpy(s->text, value, sizeof s->text);
-	s->state = is_number ? BH__SIGNAL_GIVEN : BH__SIGNAL_UNREADABLE;
+	s->state = is_number ? BH__SIGNAL_PRESENT : BH__SIGNAL_INVALID;
 	s->value = number;
 }
--- a/src/libbayhoist/endpoint_use.c
+++ b/src/libbayhoist/endpoint_use.c
@@ -132,14 +132,15 @@
 
 /* Takes what was heard of an endpoint's own limit: that it names one, as of when that was read, or that the
  * answer to a request which was sent at that time names none. Returns true if it changes what is known. */
-bool bh__registered_endpoint_hear_limit(BH__RegisteredEndpoint *e, const BH__NamedLimit *told,
+bool bh__registered_endpoint_hear_limit(BH__RegisteredEndpoint *e, const BH__AdvertisedLimit *told,
 										uint64_t now_us)
 {
-	bool changed = told->in_force ? bh__named_limit_hear(&e->signals.named, told->per_s, told->heard_us)
-								  : bh__named_limit_hear_none(&e->signals.named, told->heard_us);
+	bool changed = told->in_force
+					   ? bh__advertised_limit_receive(&e->signals.named, told->per_s, told->received_us)
+					   : bh__advertised_limit_receive_none(&e->signals.named, told->received_us);
 
 	if (changed)
-		bh__endpoint_rate_set_named(&e->rate, &e->signals.named, now_us);
+		bh__endpoint_rate_set_advertised(&e->rate, &e->signals.named, now_us);
 	if (!e->signals.named.in_force)
 		e->full_until_us = 0;
 	return changed;
--- a/src/libbayhoist/peer_sync.c
+++ b/src/libbayhoist/peer_sync.c
@@ -125,7 +125,7 @@
 			bh__peer_sync_process_quota_ask(n, &m);
 		}
 		else {
-			bh__quota_leave_home(n->quota, e->account_id);
+			bh__quota_drop_home(n->quota, e->account_id);
 			bh__node_send(n, home, &m);
 		}
 	}
--- a/src/libbayhoist/planner.c
+++ b/src/libbayhoist/planner.c
@@ -159,7 +159,7 @@
 		if (limit[k].per_s != e->rate.limit[k].per_s || limit[k].until_us != e->rate.limit[k].until_us)
 			bh__endpoint_rate_set_limit(&e->rate, (BH__LimitKind)k, limit[k].per_s, limit[k].until_us,
 										now_us);
-	bh__endpoint_rate_set_part(&e->rate, p->rate_share, now_us);
+	bh__endpoint_rate_set_rate_share(&e->rate, p->rate_share, now_us);
 }
 
 /* Sets the share of the engines' rate limits that this planner enforces, from 0 to 1. With 0 it gives no
@@ -168,8 +168,8 @@
 {
 	p->rate_share = rate_share;
 	for (guint i = 0; i < p->engines->len; i++)
-		bh__endpoint_rate_set_part(&((BH__IterationEngine *)g_ptr_array_index(p->engines, i))->rate,
-								   rate_share, now_us);
+		bh__endpoint_rate_set_rate_share(&((BH__IterationEngine *)g_ptr_array_index(p->engines, i))->rate,
+										 rate_share, now_us);
 }
 
 /* Resets the state of an engine that has restarted: it has lost all its requests, and its earlier failures no
@@ -247,7 +247,7 @@
 		assigned_tokens = end_token;
 	}
 	for (unsigned i = 0; i < placement->count; i++)
-		bh__endpoint_rate_note(&placement->engine[i]->rate, now_us);
+		bh__endpoint_rate_count_request(&placement->engine[i]->rate, now_us);
 	r = add_grant_(p, &g, due_us, first_event_target_us, now_us);
 	r->expected_ms =
 		(double)(placement->prefill_end_us - now_us) / 1000 / placement->engine[0]->clock.slowdown;
--- a/src/libbayhoist/quota.c
+++ b/src/libbayhoist/quota.c
@@ -301,7 +301,7 @@
 }
 
 /* Records that this node is no longer the home of the account, or of any account if `account_id` is 0. */
-void bh__quota_leave_home(BH__Quota *q, uint64_t account_id)
+void bh__quota_drop_home(BH__Quota *q, uint64_t account_id)
 {
 	if (account_id)
 		g_hash_table_remove(q->homes, &account_id);
--- a/src/libbayhoist/registry.c
+++ b/src/libbayhoist/registry.c
@@ -219,7 +219,7 @@
 	merge_known_(r, e, entry, told, gone_at_us, as_of);
 	if (e->entry.born_ms == born_ms) { /* it is the same start */
 		e->signals = signals;
-		bh__endpoint_rate_set_named(&e->rate, &e->signals.named, 0);
+		bh__endpoint_rate_set_advertised(&e->rate, &e->signals.named, 0);
 	}
 	return true;
 }
--- a/src/libbayhoist/signal_relay.c
+++ b/src/libbayhoist/signal_relay.c
@@ -100,7 +100,7 @@
  * bh__registered_endpoint_hear_limit()). Notifies the home node at once if a limit begins or ends, otherwise
  * at most once per CHANGED_LIMIT_PERIOD_US_ or RENOTIFY_US_. Returns true if the limit has changed. */
 bool bh__signal_relay_receive_limit(BH__SignalRelay *r, BH__RegisteredEndpoint *e,
-									const BH__NamedLimit *limit, uint64_t now_us)
+									const BH__AdvertisedLimit *limit, uint64_t now_us)
 {
 	bool was_in_force = e->signals.named.in_force;
 	bool changed = bh__registered_endpoint_hear_limit(e, limit, now_us);
@@ -180,7 +180,7 @@
 		n.in_force = e->signals.named.in_force;
 		n.per_s = e->signals.named.in_force ? e->signals.named.per_s : 0;
 		/* the end of a limit is dated now, so that it overrides every earlier advertisement of the limit */
-		n.time_us = e->signals.named.in_force ? now_us - MIN(now_us, e->signals.named.heard_us) : 0;
+		n.time_us = e->signals.named.in_force ? now_us - MIN(now_us, e->signals.named.received_us) : 0;
 	}
 	return n;
 }
@@ -247,8 +247,8 @@
 /* Merges a limit from another node. Returns true if it changes what is known. */
 static bool merge_limit_(BH__RegisteredEndpoint *e, const BH__SignalUpdate *n, uint64_t now_us)
 {
-	BH__NamedLimit limit = {
-		.in_force = n->in_force, .per_s = n->per_s, .heard_us = now_us - MIN(now_us, n->time_us)};
+	BH__AdvertisedLimit limit = {
+		.in_force = n->in_force, .per_s = n->per_s, .received_us = now_us - MIN(now_us, n->time_us)};
 
 	return bh__registered_endpoint_hear_limit(e, &limit, now_us);
 }
--- a/src/test_libbayhoist/test_named_limit.c
+++ b/src/test_libbayhoist/test_advertised_limit.c
@@ -5,21 +5,21 @@
 #include <stdarg.h>
 #include <stddef.h>
 #include <cmocka.h>
-#include "bayhoist/named_limit.h"
+#include "bayhoist/advertised_limit.h"
 
 /* An endpoint advertises a limit, repeats it, lowers it, raises it and ends it. */
 static void limit_stays_until_an_answer_has_none_(void **state)
 {
-	BH__NamedLimit l = {0};
+	BH__AdvertisedLimit l = {0};
 
 	(void)state;
-	assert_false(bh__named_limit_hear_none(&l, 5));
-	assert_true(bh__named_limit_hear(&l, 4, 10));
-	assert_false(bh__named_limit_hear(&l, 4, 20));
-	assert_true(bh__named_limit_hear(&l, 1, 30));
-	assert_true(bh__named_limit_hear(&l, 8, 40));
+	assert_false(bh__advertised_limit_receive_none(&l, 5));
+	assert_true(bh__advertised_limit_receive(&l, 4, 10));
+	assert_false(bh__advertised_limit_receive(&l, 4, 20));
+	assert_true(bh__advertised_limit_receive(&l, 1, 30));
+	assert_true(bh__advertised_limit_receive(&l, 8, 40));
 	assert_true(l.in_force && l.per_s == 8);
-	assert_true(bh__named_limit_hear_none(&l, 50));
+	assert_true(bh__advertised_limit_receive_none(&l, 50));
 	assert_false(l.in_force);
 }
 
@@ -27,24 +27,24 @@
  * its lack of a limit must not end it. */
 static void late_answer_does_not_end_limit_(void **state)
 {
-	BH__NamedLimit l = {0};
+	BH__AdvertisedLimit l = {0};
 
 	(void)state;
-	bh__named_limit_hear(&l, 4, 100);
-	assert_false(bh__named_limit_hear_none(&l, 90));
-	assert_false(bh__named_limit_hear_none(&l, 100));
+	bh__advertised_limit_receive(&l, 4, 100);
+	assert_false(bh__advertised_limit_receive_none(&l, 90));
+	assert_false(bh__advertised_limit_receive_none(&l, 100));
 	assert_true(l.in_force);
-	assert_true(bh__named_limit_hear_none(&l, 101));
+	assert_true(bh__advertised_limit_receive_none(&l, 101));
 }
 
 /* A limit that another node reports may be older than the one that this node has received itself. */
 static void older_limit_is_ignored_(void **state)
 {
-	BH__NamedLimit l = {0};
+	BH__AdvertisedLimit l = {0};
 
 	(void)state;
-	bh__named_limit_hear(&l, 4, 100);
-	assert_false(bh__named_limit_hear(&l, 9, 99));
+	bh__advertised_limit_receive(&l, 4, 100);
+	assert_false(bh__advertised_limit_receive(&l, 9, 99));
 	assert_true(l.per_s == 4);
 }
 
--- a/src/test_libbayhoist/test_cold.c
+++ b/src/test_libbayhoist/test_cold.c
@@ -69,7 +69,7 @@
 			uint64_t wait_us;
 			if (us < next_ask_us[n])
 				continue;
-			if (bh__endpoint_rate_promise(rate, 0, us, &wait_us))
+			if (bh__endpoint_rate_reserve(rate, 0, us, &wait_us))
 				record_arrival_(arrivals, us);
 			else
 				next_ask_us[n] = us + wait_us;
@@ -93,7 +93,8 @@
 		bh__registry_set_cold_rate(r, "web", COLD_RATE_PER_S, NOW_US);
 		e = bh__registry_get(r, 0);
 		assert_false(bh__endpoint_rate_admits(&e->rate, NOW_US)); /* only its home grants requests */
-		bh__endpoint_rate_set_part(&e->rate, bh__home_part(counts[i], counts[i], 0, NOW_US), NOW_US);
+		bh__endpoint_rate_set_rate_share(&e->rate, bh__home_rate_share(counts[i], counts[i], 0, NOW_US),
+										 NOW_US);
 		ask_home_(&e->rate, counts[i], NOW_US, arrivals);
 		print_message("%u nodes: %u requests in 6 s, at most %u in a second\n", counts[i], arrivals->len,
 					  max_per_second_(arrivals));
@@ -119,7 +120,7 @@
 	put_(r, 1, NOW_US + COLD_US);
 	e = bh__registry_get(r, 0);
 	bh__registry_set_cold_rate(r, "web", COLD_RATE_PER_S, NOW_US);
-	bh__endpoint_rate_set_part(&e->rate, 1, NOW_US);
+	bh__endpoint_rate_set_rate_share(&e->rate, 1, NOW_US);
 	put_(r, 2, second_cold_us + COLD_US);
 	bh__registry_set_cold_rate(r, "web", COLD_RATE_PER_S, second_cold_us);
 	ask_home_(&e->rate, nodes, second_cold_us, arrivals);
@@ -231,8 +232,9 @@
 			if (us == NOW_US + COLD_US / 2)
 				bh__planner_set_local(successor->planner, false);
 			if (us >= NOW_US + COLD_US / 2)
-				bh__planner_set_rate_share(successor->planner,
-										   bh__home_part(counts[i], counts[i], NOW_US + COLD_US / 2, us), us);
+				bh__planner_set_rate_share(
+					successor->planner, bh__home_rate_share(counts[i], counts[i], NOW_US + COLD_US / 2, us),
+					us);
 			ask_(previous, us);
 			ask_(successor, us);
 			for (unsigned n = 0; n < local_count; n++)
--- a/src/test_libbayhoist/test_endpoint_rate.c
+++ b/src/test_libbayhoist/test_endpoint_rate.c
@@ -41,14 +41,14 @@
 static Fleet *fleet_new_(unsigned nodes, double per_s, uint32_t seed)
 {
 	Fleet *f = g_new0(Fleet, 1);
-	BH__NamedLimit named = {0};
+	BH__AdvertisedLimit named = {0};
 
 	f->rand = g_rand_new_with_seed(seed);
 	f->nodes = nodes;
 	f->arrivals = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	bh__named_limit_hear(&named, per_s, NOW_US);
+	bh__advertised_limit_receive(&named, per_s, NOW_US);
 	for (unsigned i = 0; i < HOMES_MAX; i++)
-		bh__endpoint_rate_set_named(&f->home[i], &named, NOW_US);
+		bh__endpoint_rate_set_advertised(&f->home[i], &named, NOW_US);
 	return f;
 }
 
@@ -68,7 +68,7 @@
 
 	if (now_us < f->next_ask_us[node])
 		return;
-	if (!bh__endpoint_rate_promise(&f->home[home], max_wait_us, now_us, &wait_us)) {
+	if (!bh__endpoint_rate_reserve(&f->home[home], max_wait_us, now_us, &wait_us)) {
 		f->next_ask_us[node] = now_us + MIN(wait_us, 100 * BH__MS_US);
 		return;
 	}
@@ -114,7 +114,7 @@
 	for (unsigned i = 0; i < G_N_ELEMENTS(Nodes_); i++) {
 		for (unsigned j = 0; j < G_N_ELEMENTS(Limits_); j++) {
 			Fleet *f = fleet_new_(Nodes_[i], Limits_[j], i * 10 + j);
-			bh__endpoint_rate_set_part(&f->home[0], 1, NOW_US);
+			bh__endpoint_rate_set_rate_share(&f->home[0], 1, NOW_US);
 			for (uint64_t us = NOW_US; us < NOW_US + RUN_US; us += STEP_US)
 				for (unsigned n = 0; n < f->nodes; n++)
 					ask_home_(f, n, 0, 100 * BH__MS_US, us);
@@ -140,10 +140,10 @@
 				unsigned current = (unsigned)((us - NOW_US) / period_us) % HOMES_MAX;
 				unsigned previous = (current + HOMES_MAX - 1) % HOMES_MAX;
 				bool overlap = us < since_us + delay_us;
-				double part = bh__home_part(f->nodes, f->nodes, since_us, us);
-				bh__endpoint_rate_set_part(&f->home[current], part, us);
+				double part = bh__home_rate_share(f->nodes, f->nodes, since_us, us);
+				bh__endpoint_rate_set_rate_share(&f->home[current], part, us);
 				if (!overlap)
-					bh__endpoint_rate_set_part(&f->home[previous], 0, us);
+					bh__endpoint_rate_set_rate_share(&f->home[previous], 0, us);
 				for (unsigned n = 0; n < f->nodes; n++)
 					ask_home_(f, n, n % 2 && overlap ? previous : current, 100 * BH__MS_US, us);
 			}
@@ -165,11 +165,12 @@
 			for (uint64_t us = NOW_US; us < NOW_US + RUN_US; us += STEP_US) {
 				bool partitioned = us >= NOW_US + 10 * BH__SECOND_US && us < NOW_US + 40 * BH__SECOND_US;
 				bool detected = us >= NOW_US + 12 * BH__SECOND_US && partitioned;
-				bh__endpoint_rate_set_part(
-					&f->home[0], bh__home_part(detected ? f->nodes - lost : f->nodes, f->nodes, 0, us), us);
-				bh__endpoint_rate_set_part(
+				bh__endpoint_rate_set_rate_share(
+					&f->home[0], bh__home_rate_share(detected ? f->nodes - lost : f->nodes, f->nodes, 0, us),
+					us);
+				bh__endpoint_rate_set_rate_share(
 					&f->home[1],
-					detected ? bh__home_part(lost, f->nodes, NOW_US + 12 * BH__SECOND_US, us) : 0, us);
+					detected ? bh__home_rate_share(lost, f->nodes, NOW_US + 12 * BH__SECOND_US, us) : 0, us);
 				for (unsigned n = 0; n < f->nodes; n++)
 					if (!partitioned || n >= lost || detected)
 						ask_home_(f, n, partitioned && n < lost ? 1 : 0, 100 * BH__MS_US, us);
@@ -185,12 +186,12 @@
 static void no_burst_accumulates_(void **state)
 {
 	Fleet *f = fleet_new_(NODES_MAX, 50, 1);
-	BH__NamedLimit named = {.in_force = true, .per_s = 50, .heard_us = NOW_US};
+	BH__AdvertisedLimit named = {.in_force = true, .per_s = 50, .received_us = NOW_US};
 
 	(void)state;
-	bh__endpoint_rate_set_part(&f->home[0], 1, NOW_US);
-	bh__named_limit_hear(&named, 1, NOW_US + 20 * BH__SECOND_US); /* no requests for 20 s */
-	bh__endpoint_rate_set_named(&f->home[0], &named, NOW_US + 20 * BH__SECOND_US);
+	bh__endpoint_rate_set_rate_share(&f->home[0], 1, NOW_US);
+	bh__advertised_limit_receive(&named, 1, NOW_US + 20 * BH__SECOND_US); /* no requests for 20 s */
+	bh__endpoint_rate_set_advertised(&f->home[0], &named, NOW_US + 20 * BH__SECOND_US);
 	for (uint64_t us = NOW_US + 20 * BH__SECOND_US; us < NOW_US + RUN_US; us += STEP_US)
 		for (unsigned n = 0; n < f->nodes; n++)
 			ask_home_(f, n, 0, BH__SECOND_US, us);
@@ -205,7 +206,7 @@
 	Fleet *f = fleet_new_(9, 0, 1);
 
 	(void)state;
-	bh__endpoint_rate_set_part(&f->home[0], 1, NOW_US);
+	bh__endpoint_rate_set_rate_share(&f->home[0], 1, NOW_US);
 	for (uint64_t us = NOW_US; us < NOW_US + RUN_US; us += STEP_US)
 		for (unsigned n = 0; n < f->nodes; n++)
 			ask_home_(f, n, 0, 0, us);
@@ -218,18 +219,18 @@
 static void lowest_limit_counts_(void **state)
 {
 	BH__EndpointRate r = {0};
-	BH__NamedLimit named = {.in_force = true, .per_s = 5};
+	BH__AdvertisedLimit named = {.in_force = true, .per_s = 5};
 
 	(void)state;
 	assert_false(bh__endpoint_rate_is_limited(&r, NOW_US));
 	assert_true(bh__endpoint_rate_admits(&r, NOW_US));
 	bh__endpoint_rate_set_limit(&r, BH__LIMIT_COLD, 2, NOW_US + BH__SECOND_US, NOW_US);
-	bh__endpoint_rate_set_named(&r, &named, NOW_US);
+	bh__endpoint_rate_set_advertised(&r, &named, NOW_US);
 	assert_true(bh__endpoint_rate_get_per_s(&r, NOW_US) == 2);
 	assert_false(bh__endpoint_rate_admits(&r, NOW_US)); /* another node is the home */
 	assert_true(bh__endpoint_rate_get_per_s(&r, NOW_US + BH__SECOND_US) == 5);
 	named.in_force = false;
-	bh__endpoint_rate_set_named(&r, &named, NOW_US);
+	bh__endpoint_rate_set_advertised(&r, &named, NOW_US);
 	assert_false(bh__endpoint_rate_is_limited(&r, NOW_US + BH__SECOND_US));
 }
 
@@ -258,7 +259,7 @@
  * returns after it has lapsed, and dropped when the endpoint restarts under the same id. */
 static void limit_belongs_to_one_incarnation_(void **state)
 {
-	const BH__NamedLimit advertised = {.in_force = true, .per_s = 2, .heard_us = NOW_US};
+	const BH__AdvertisedLimit advertised = {.in_force = true, .per_s = 2, .received_us = NOW_US};
 	BH__Registry *r = bh__registry_new(1);
 	BH__RegisteredEndpoint *e;
 
--- a/src/test_libbayhoist/test_planner.c
+++ b/src/test_libbayhoist/test_planner.c
@@ -797,7 +797,7 @@
 static void set_advertised_limits_(Fixture *f, unsigned engines, double per_s)
 {
 	const BH__Limit limit[BH__LIMIT_KIND_COUNT] = {
-		[BH__LIMIT_NAMED] = {.per_s = per_s, .until_us = BH__LIMIT_NO_END}};
+		[BH__LIMIT_ADVERTISED] = {.per_s = per_s, .until_us = BH__LIMIT_NO_END}};
 
 	for (unsigned i = 1; i <= engines; i++)
 		bh__planner_set_limits(f->planner, i, limit, 0);
--- a/src/test_libbayhoist/test_signal_relay.c
+++ b/src/test_libbayhoist/test_signal_relay.c
@@ -492,7 +492,7 @@
 static bool receive_limit_(MemberNode *n, unsigned endpoint, double per_s)
 {
 	RelayNode *self = n->user;
-	BH__NamedLimit received = {.in_force = per_s > 0, .per_s = per_s, .heard_us = n->fleet->now_us};
+	BH__AdvertisedLimit received = {.in_force = per_s > 0, .per_s = per_s, .received_us = n->fleet->now_us};
 
 	return bh__signal_relay_receive_limit(
 		self->relay, bh__registry_find(self->registry, endpoint_id_(endpoint)), &received, n->fleet->now_us);
--- a/test/platform/test_decode.c
+++ b/test/platform/test_decode.c
@@ -288,15 +288,15 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(Header); i++) {
 		BH__SignalKind kind = Header[i].kind;
 		char *lower = g_ascii_strdown(Header[i].name, -1);
-		assert_int_equal(read_(lower, "0.25 ", kind).state, BH__SIGNAL_GIVEN);
+		assert_int_equal(read_(lower, "0.25 ", kind).state, BH__SIGNAL_PRESENT);
 		assert_true(read_(lower, "0.25 ", kind).value == 0.25);
-		assert_int_equal(read_(lower, "0", kind).state, BH__SIGNAL_GIVEN);
+		assert_int_equal(read_(lower, "0", kind).state, BH__SIGNAL_PRESENT);
 		assert_true(read_(lower, "0", kind).value == 0);
-		assert_int_equal(read_(lower, "1e300", kind).state, BH__SIGNAL_GIVEN);
+		assert_int_equal(read_(lower, "1e300", kind).state, BH__SIGNAL_PRESENT);
 		assert_true(read_(lower, "1e300", kind).value == Header[i].max);
 		for (size_t k = 0; k < G_N_ELEMENTS(Unreadable); k++) {
 			BH__Signal s = read_(Header[i].name, Unreadable[k], kind);
-			assert_int_equal(s.state, BH__SIGNAL_UNREADABLE);
+			assert_int_equal(s.state, BH__SIGNAL_INVALID);
 			assert_true(g_str_has_prefix(Unreadable[k], s.text));
 			assert_true(strlen(s.text) == MIN(strlen(Unreadable[k]), sizeof s.text - 1));
 		}
@@ -324,7 +324,7 @@
 			AnswerMeta m = {0};
 			platform_read_answer_header(&m, Case[i].name, Case[i].value[first]);
 			platform_read_answer_header(&m, Case[i].name, Case[i].value[!first]);
-			assert_int_equal(m.signal[Case[i].kind].state, BH__SIGNAL_GIVEN);
+			assert_int_equal(m.signal[Case[i].kind].state, BH__SIGNAL_PRESENT);
 			assert_true(m.signal[Case[i].kind].value == Case[i].wanted);
 		}
 	}
