--- a/include/bayhoist/fingerprint.h
+++ b/include/bayhoist/fingerprint.h
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Which requests are the same: those of one client account with one method, path and whole body, whatever
- * name each try has. */
+/* Request fingerprints. Two requests have the same fingerprint if they come from the same client account with
+ * the same method, target and complete body, regardless of the identifiers that each attempt carries. */
 #ifndef BAYHOIST_FINGERPRINT_H
 #define BAYHOIST_FINGERPRINT_H
 
@@ -8,19 +8,19 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#define BH__FINGERPRINT_TEXT_LEN 33 /* in hexadecimal, with its terminator */
+#define BH__FINGERPRINT_TEXT_LEN 33 /* 32 hexadecimal digits and the terminator */
 
-/* All zeros: none. */
+/* A 128-bit fingerprint. All zeros means no fingerprint. */
 typedef struct {
 	uint64_t high;
 	uint64_t low;
 } BH__Fingerprint;
 
-/* What a fingerprint is of. Texts are not NULL. */
+/* Input of a fingerprint. No string is NULL. */
 typedef struct {
 	const char *account; /* client account; empty: none */
 	const char *method;
-	const char *target; /* path and query */
+	const char *target; /* path and query string */
 	const uint8_t *body;
 	size_t body_len;
 } BH__FingerprintSource;
--- a/include/bayhoist/registry.h
+++ b/include/bayhoist/registry.h
@@ -1,8 +1,9 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Endpoints that register themselves: what each said of itself, what was learned by using it, and the choice
- * among those of a plain service. An endpoint may start again under its id, and then holds nothing of before;
- * an address may come back under another id. News of endpoints carry the place in the store's history as of
- * which they hold (place.h). */
+/* The registry of endpoints that register themselves. It holds what each endpoint reports of itself and what
+ * this node observes in using it, and selects an endpoint for services without a planner. An endpoint may
+ * restart under the same id, which discards all state of its earlier incarnation; an address may reappear
+ * under another id. Each endpoint update carries the version of the store's history as of which it holds
+ * (place.h). */
 #ifndef BAYHOIST_REGISTRY_H
 #define BAYHOIST_REGISTRY_H
 
@@ -11,97 +12,104 @@
 #include "bayhoist/place.h"
 #include "bayhoist/types.h"
 
-#define BH__TRIED_MAX 4  /* endpoints that one request keeps away from */
-#define BH__HALLS_MAX 64 /* that are remembered to drain, or to have drained */
+#define BH__TRIED_MAX 4  /* maximum number of already tried endpoints that a request avoids */
+#define BH__HALLS_MAX 64 /* maximum number of halls whose drain state is kept */
 
-/* What an endpoint says of itself. */
+/* The entry that an endpoint writes to describe itself. */
 typedef struct {
 	char id[BH__NAME_LEN];
 	char service[BH__NAME_LEN];
 	char address[BH__ADDRESS_LEN];
 	char hall[BH__NAME_LEN];
-	uint32_t slots;         /* requests that it works on at a time */
-	uint64_t born_ms;       /* time of day of its start, by its own clock; 0: not said */
-	uint64_t cold_until_us; /* it bears few requests until then, by this node's clock; 0: it is not cold */
+	uint32_t slots;         /* requests that it processes concurrently */
+	uint64_t born_ms;       /* wall-clock start time by its own clock; 0: not specified */
+	uint64_t cold_until_us; /* time on this node's clock until which it is cold and accepts few requests; 0:
+							   not cold */
 	bool draining;
 } BH__EndpointEntry;
 
 typedef enum {
-	BH__USE_SERVED,   /* a whole answer */
-	BH__USE_REFUSED,  /* it said that it did not run the request */
-	BH__USE_FAILED,   /* no answer, a broken one, or a failure of its own */
-	BH__USE_ABANDONED /* we ended it; says nothing of the endpoint */
+	BH__USE_SERVED,   /* a complete response */
+	BH__USE_REFUSED,  /* the endpoint reported that it did not run the request */
+	BH__USE_FAILED,   /* no response, an invalid one, or an endpoint error */
+	BH__USE_ABANDONED /* this node or the caller ended the request; says nothing about the endpoint */
 } BH__Use;
 
 extern const char *const BH__UseString[];
 
-/* What is kept of an endpoint for good. Each field only grows, so that news may come in any order and more
- * than once. */
+/* The merged history of an endpoint. Each field only grows, so updates may arrive in any order and more than
+ * once. */
 typedef struct {
-	BH__Place gone;           /* latest place as of which its entry was gone; the start: never */
-	uint64_t born_ms;         /* its latest start */
-	BH__Place listed;         /* where that start last wrote its entry, as far as is known */
-	bool drained;             /* some start has said that it leaves */
-	uint64_t drained_born_ms; /* the latest that did */
+	BH__Place gone;           /* latest store version as of which its entry did not exist; zero: never */
+	uint64_t born_ms;         /* start time of its latest incarnation */
+	BH__Place listed;         /* latest known store version at which that incarnation wrote its entry */
+	bool drained;             /* some incarnation has reported that it is leaving */
+	uint64_t drained_born_ms; /* start time of the latest such incarnation */
 } BH__EndpointPast;
 
-/* A data hall that operators drain, or drained: its endpoints get no new work until they take that back. */
+/* A data hall that operators drain or have drained. Endpoints in a draining hall get no new work until an
+ * operator takes the drain back. */
 typedef struct {
 	char name[BH__NAME_LEN];
 	bool draining;
-	BH__Place changed;    /* in the store's history, when that was last written or taken back */
-	uint64_t since_us;    /* when this node learnt of it; not told */
-	uint64_t ends_at_us;  /* when it ends unless it is written again; 0: it does not; not told */
-	BH__Place ends_place; /* as of which it was not there; not told */
+	BH__Place changed; /* store version at which the drain was last written or taken back */
+	uint64_t since_us; /* when this node received the latest change of `draining`; not sent to other nodes */
+	uint64_t ends_at_us;  /* when the drain ends unless it is written again; 0: it has no end; not sent to
+							 other nodes */
+	BH__Place ends_place; /* store version as of which the drain was missing; not sent to other nodes */
 } BH__HallDrain;
 
-/* What an endpoint has said of itself in answers, in its latest start, and whom this node has told. A leaving
- * is kept in the endpoint's past. */
+/* Signals that the current incarnation of an endpoint sent in its responses, and which nodes this node has
+ * notified. The history of the endpoint records that it is leaving. */
 typedef struct {
-	bool said_leaving;          /* to this node */
-	uint64_t leaving_told_node; /* the home that this node has told of that; 0: none */
-	BH__NamedLimit named;       /* limit, as far as this node has heard */
-	uint64_t named_told_us;     /* when this node last told its home of that */
-	bool spread_in_force;       /* what all were last told of the limit, as far as this node knows */
+	bool said_leaving;          /* the endpoint told this node that it is leaving */
+	uint64_t leaving_told_node; /* home node that this node has notified of the leaving; 0: none */
+	BH__NamedLimit named;       /* limit that the endpoint advertises, as known to this node */
+	uint64_t named_told_us;     /* when this node last notified its home node of the limit; 0: never */
+	bool spread_in_force; /* whether the limit last broadcast to all nodes, as known to this node, was in
+							 force */
 	double spread_per_s;
-	uint64_t backoff_until_us; /* it wants nothing of this node until then */
-	uint64_t
-		overloaded_until_us; /* it has turned away requests of some node, and asked for backoff until then */
+	uint64_t backoff_until_us;    /* this node sends it no requests until then; 0: no backoff */
+	uint64_t overloaded_until_us; /* it rejected requests of some node and asked for backoff until then; 0:
+									 never */
 } BH__EndpointSignals;
 
 typedef struct {
-	uint64_t endpoint_id; /* hash of its id */
+	uint64_t endpoint_id; /* hash of the endpoint's id */
 	BH__EndpointEntry entry;
 	BH__EndpointPast past;
-	BH__Place learnt; /* with which the last change of what is believed of it was learnt */
+	BH__Place learnt; /* store version with which the last visible change was merged */
 	BH__EndpointSignals signals;
-	uint64_t gone_at_us;    /* 0: listed; otherwise it is to be taken as gone from then on */
-	bool hall_drains;       /* the hall that it stands in */
-	BH__EndpointRate rate;  /* counted here if this node is its home and nobody schedules its service */
-	uint64_t full_until_us; /* its home grants nothing until then */
-	uint64_t life;          /* differs for each start that was seen, under whichever id */
-	uint32_t in_flight;     /* requests that this node has there */
-	uint32_t reported;      /* requests that it said run or wait there, of all nodes */
+	uint64_t gone_at_us;    /* when the endpoint counts as gone; 0: it is listed */
+	bool hall_drains;       /* whether its hall is draining */
+	BH__EndpointRate rate;  /* enforced here if this node is the home node of the endpoint and no node
+							   schedules its service */
+	uint64_t full_until_us; /* its home node grants no request until then; 0: grants are possible */
+	uint64_t life;          /* number of this incarnation, unique within the registry */
+	uint32_t in_flight;     /* requests that this node currently has at the endpoint */
+	uint32_t reported;      /* running and waiting requests of all nodes, as last reported by the endpoint */
 	uint64_t reported_us;
 	uint64_t set_aside_until_us;
-	uint32_t failures;    /* one after another */
-	double failure_share; /* of late uses, weighted */
+	uint32_t failures;    /* consecutive failures */
+	double failure_share; /* exponentially weighted share of failures in recent requests, 0 to 1 */
 } BH__RegisteredEndpoint;
 
-/* What a node tells of an endpoint that it knows. */
+/* State of a listed endpoint as sent to other nodes. Times are relative, because the clocks of nodes differ.
+ */
 typedef struct {
 	BH__EndpointEntry entry;
 	BH__EndpointPast past;
-	uint64_t gone_in_us; /* if its entry is gone: until it is to be taken as gone */
-	uint64_t cold_in_us; /* if it is cold: until it is not; the entry's own time is not told */
+	uint64_t gone_in_us; /* time until the endpoint counts as gone, if its entry is gone; else 0 */
+	uint64_t cold_in_us; /* time until the endpoint is no longer cold; 0: it is not cold. The entry's
+							cold_until_us is not sent. */
 } BH__EndpointFact;
 
-/* What a node knows of an endpoint that is gone. */
+/* State of an endpoint that is gone. */
 typedef struct {
 	uint64_t endpoint_id;
 	BH__EndpointPast past;
-	BH__Place learnt;            /* as that of an endpoint; not told */
-	BH__EndpointSignals signals; /* not told */
+	BH__Place learnt; /* store version with which the last change was merged; not sent to other nodes */
+	BH__EndpointSignals signals; /* not sent to other nodes */
 } BH__EndpointDeparture;
 
 typedef struct BH__Registry BH__Registry;
--- a/include/bayhoist/routing.h
+++ b/include/bayhoist/routing.h
@@ -1,19 +1,20 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Routing of HTTP requests: which service a host and path lead to, how a request may be treated, who owns an
- * API key, and the limits on what callers send. A BH__Routing is one version of that; it never changes once
- * it is sealed, and requests under way keep a reference to the version that they began with. */
+/* Routing of HTTP requests: maps host and path to a service, and defines how a request may be retried, which
+ * client account owns an API key, and the limits on request size and duration. A BH__Routing is one version
+ * of this configuration. It is immutable once sealed, and each request keeps a reference to the version that
+ * it started with. */
 #ifndef BAYHOIST_ROUTING_H
 #define BAYHOIST_ROUTING_H
 
 #include <glib.h>
 #include "bayhoist/engine_model.h"
 
-#define BH__SPLIT_MAX 8 /* most services that one route spreads over */
+#define BH__SPLIT_MAX 8 /* maximum number of services per route */
 
 typedef enum {
-	BH__REPEAT_FREELY, /* may run any number of times */
-	BH__REPEAT_NEVER,  /* at most once */
-	BH__REPEAT_RESUME  /* a stream: may go on at another endpoint after the last event that was delivered */
+	BH__REPEAT_FREELY, /* may be executed any number of times */
+	BH__REPEAT_NEVER,  /* is executed at most once */
+	BH__REPEAT_RESUME  /* a stream that may resume at another endpoint after the last delivered event */
 } BH__Repeat;
 
 extern const char *const BH__RepeatString[];
@@ -26,15 +27,15 @@
 typedef struct {
 	char name[BH__NAME_LEN];
 	char *host;
-	char *path_prefix; /* begins and ends with a slash */
+	char *path_prefix; /* starts and ends with a slash */
 	BH__Repeat repeat;
-	bool streams;          /* the answer is a series of events */
-	bool needs_no_key;     /* requests without an API key are served */
-	uint32_t timeout_ms;   /* longest time that a request is held */
-	uint32_t target_ms;    /* time to the answer, or its first event, that callers expect */
-	uint32_t event_gap_ms; /* longest pause between events that callers expect; 0: not said */
+	bool streams;          /* the response is a stream of events */
+	bool needs_no_key;     /* requests without an API key are accepted */
+	uint32_t timeout_ms;   /* maximum time that the gateway holds a request */
+	uint32_t target_ms;    /* expected time to the response, or to its first event */
+	uint32_t event_gap_ms; /* expected maximum time between two events; 0: not specified */
 	uint32_t priority;     /* 0 is the most urgent */
-	uint32_t max_attempts; /* most endpoints that one request may be sent to */
+	uint32_t max_attempts; /* maximum number of endpoints that a request is sent to */
 	unsigned target_count;
 	BH__RouteTarget target[BH__SPLIT_MAX];
 } BH__RouteRule;
@@ -42,19 +43,20 @@
 typedef struct {
 	char name[BH__NAME_LEN];
 	char *health_path;
-	uint32_t max_connections; /* that one endpoint takes from all callers together */
-	double cold_per_s; /* requests that one bears a second while it is cold, of all nodes; 0: any number */
+	uint32_t max_connections; /* per endpoint, over all callers */
+	double cold_per_s;        /* requests per second that a cold endpoint accepts from all nodes together; 0:
+								 unlimited */
 	bool is_engine;
-	BH__EngineModel engine; /* if it is one */
+	BH__EngineModel engine; /* valid if is_engine is set */
 } BH__ServiceSpec;
 
 typedef struct {
 	char name[BH__NAME_LEN];
 	bool has_priority;
-	uint32_t priority; /* goes before the route's */
+	uint32_t priority; /* overrides the route's priority if has_priority is set */
 } BH__KeyOwner;
 
-/* Limits on what a caller sends and how long it takes over it. */
+/* Limits on the size of a request and on the time that a caller takes to send it. */
 typedef struct {
 	uint64_t max_header_bytes;
 	uint64_t max_body_bytes;
@@ -64,7 +66,7 @@
 
 typedef struct BH__Routing BH__Routing;
 
-/* Building; the objects handed over belong to the routing afterwards. */
+/* Construction. The routing table takes ownership of the rules and services added to it. */
 BH__Routing *bh__routing_new(uint64_t version);
 void bh__routing_add_rule(BH__Routing *r, BH__RouteRule *rule);
 void bh__routing_add_service(BH__Routing *r, BH__ServiceSpec *service);
@@ -76,7 +78,7 @@
 BH__ServiceSpec *bh__service_spec_new(void);
 void bh__service_spec_free(BH__ServiceSpec *service);
 
-/* Use. */
+/* Lookup. */
 BH__Routing *bh__routing_ref(BH__Routing *r);
 void bh__routing_unref(BH__Routing *r);
 uint64_t bh__routing_get_version(const BH__Routing *r);
--- a/src/libbayhoist/endpoint_use.c
+++ b/src/libbayhoist/endpoint_use.c
@@ -1,20 +1,21 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The use of registered endpoints: what is learnt by sending to them, and the choice among those of a plain
- * service. */
+/* Use of registered endpoints: what this node observes from the requests it sends, and the selection of an
+ * endpoint for services without a planner. */
 #include "registry_internal.h"
 
 #include <string.h>
 
-/* An endpoint that failed is left alone for so long, then twice that. */
-#define ASIDE_FIRST_US_ (200 * BH__MS_US)
-#define ASIDE_MAX_US_ (3 * BH__SECOND_US)
-#define ASIDE_FAILURES_ 2   /* one failure may be the request's own */
-#define FAILURE_WEIGHT_ 0.2 /* of the latest use in the share of failures */
-#define FAILURE_COST_ 10.0  /* a share of failures of 1 counts as so many requests under way */
-#define ASIDE_COST_ 1e3     /* more than any load: only if there is no other */
-#define TRIED_COST_ 1e6     /* more than that */
-#define HALL_COST_ 0.4      /* another data hall counts as so many */
-#define REPORT_FRESH_US_ (1 * BH__SECOND_US)
+/* Ejection time of an endpoint after repeated failures; doubles with each further failure. */
+#define EJECTION_FIRST_US_ (200 * BH__MS_US)
+#define EJECTION_MAX_US_ (3 * BH__SECOND_US)
+#define EJECTION_FAILURES_                                                                                   \
+	2 /* consecutive failures before ejection; a single failure may be caused by the request itself */
+#define FAILURE_WEIGHT_ 0.2 /* weight of the latest request in the failure share */
+#define FAILURE_COST_ 10.0  /* cost of a failure share of 1, in requests in flight */
+#define EJECTED_COST_ 1e3   /* exceeds any load, so ejected endpoints are used only if there is no other */
+#define TRIED_COST_ 1e6     /* exceeds EJECTED_COST_ */
+#define HALL_COST_ 0.4      /* cost of an endpoint in another data hall, in requests in flight */
+#define REPORT_FRESH_US_ (1 * BH__SECOND_US) /* maximum age of a load report that counts */
 
 const char *const BH__UseString[] = {"served", "refused", "failed", "abandoned"};
 
@@ -29,7 +30,7 @@
 	return false;
 }
 
-/* Returns an endpoint's load for the choice, in requests for each slot. */
+/* Returns the cost of selecting an endpoint: its load, failures and distance in requests per slot. */
 static double cost_(const BH__RegisteredEndpoint *e, const char *hall, uint64_t now_us)
 {
 	double load = e->in_flight;
@@ -44,10 +45,11 @@
 	return load / MAX(e->entry.slots, 1u);
 }
 
-/* Returns the endpoint of a plain service with the least load, by chance among equals, or NULL. Those that
- * failed a moment ago are used only if there is no other; those in `tried` only with `again`, and only if
- * there is no other at all: one that failed a request may serve it the next time. Where one endpoint of three
- * was left that failed one request in some, 9 of 94 lookups ended with its first failure. */
+/* Returns the endpoint with the lowest cost for a service without a planner, chosen at random among equals,
+ * or NULL. Ejected endpoints are used only if there is no other. Endpoints in `tried` are used only with
+ * `again`, and only if no other endpoint is left, because an endpoint that failed a request may serve it the
+ * next time. Without this, when only one of three endpoints was left and it failed some requests, 9 of 94
+ * lookups ended with its first failure. */
 BH__RegisteredEndpoint *bh__registry_pick(BH__Registry *r, const char *service, const char *hall,
 										  const uint64_t *tried, unsigned tried_count, bool again,
 										  uint64_t now_us)
@@ -63,7 +65,7 @@
 		if (strcmp(e->entry.service, service) != 0 || !bh__registered_endpoint_takes(e, now_us) ||
 			now_us < e->full_until_us || (was_tried && !again))
 			continue;
-		cost = cost_(e, hall, now_us) + (now_us < e->set_aside_until_us ? ASIDE_COST_ : 0) +
+		cost = cost_(e, hall, now_us) + (now_us < e->set_aside_until_us ? EJECTED_COST_ : 0) +
 			   (was_tried ? TRIED_COST_ : 0);
 		if (!best || cost < best_cost) {
 			best = e;
@@ -73,7 +75,8 @@
 	return best;
 }
 
-/* A request goes to an endpoint. Returns the endpoint's life, for bh__registry_note_end(). */
+/* Records that a request is sent to an endpoint. Returns the endpoint's incarnation for
+ * bh__registry_note_end(), or 0 if the endpoint is not in the table. */
 uint64_t bh__registry_note_start(BH__Registry *r, uint64_t endpoint_id)
 {
 	BH__RegisteredEndpoint *e = bh__registry_find(r, endpoint_id);
@@ -84,7 +87,7 @@
 	return e->life;
 }
 
-/* Learns from how a request ended, unless the endpoint has started again since the request was sent. */
+/* Records the outcome of a request, unless the endpoint has restarted since the request was sent. */
 void bh__registry_note_end(BH__Registry *r, uint64_t endpoint_id, uint64_t life, BH__Use use, uint64_t now_us)
 {
 	BH__RegisteredEndpoint *e = bh__registry_find(r, endpoint_id);
@@ -99,13 +102,14 @@
 	else if (use == BH__USE_FAILED) {
 		e->failures++;
 		e->failure_share += FAILURE_WEIGHT_ * (1 - e->failure_share);
-		if (e->failures >= ASIDE_FAILURES_)
+		if (e->failures >= EJECTION_FAILURES_)
 			e->set_aside_until_us =
-				now_us + MIN(ASIDE_FIRST_US_ << MIN(e->failures - ASIDE_FAILURES_, 8u), ASIDE_MAX_US_);
+				now_us +
+				MIN(EJECTION_FIRST_US_ << MIN(e->failures - EJECTION_FAILURES_, 8u), EJECTION_MAX_US_);
 	}
 }
 
-/* Takes what an endpoint said of its load. */
+/* Records the numbers of running and waiting requests reported by an endpoint. */
 void bh__registry_note_load(BH__Registry *r, uint64_t endpoint_id, uint32_t running, uint32_t waiting,
 							uint64_t now_us)
 {
@@ -117,8 +121,9 @@
 	e->reported_us = now_us;
 }
 
-/* Sets what an endpoint of a service bears a second, of all nodes, while it is cold; 0: any number. To be
- * called after each change of the table, before one that has turned cold is used. */
+/* Sets the rate in requests per second that each endpoint of a service accepts from all nodes together while
+ * it is cold; 0: unlimited. Must be called after each change of the table, before an endpoint that has become
+ * cold is used. */
 void bh__registry_set_cold_rate(BH__Registry *r, const char *service, double per_s, uint64_t now_us)
 {
 	for (guint i = 0; i < r->table->len; i++) {
@@ -130,13 +135,13 @@
 	}
 }
 
-/* Takes what was heard of an endpoint's own limit: that it names one, as of when that was read, or that the
- * answer to a request which was sent at that time names none. Returns true if it changes what is known. */
-bool bh__registered_endpoint_hear_limit(BH__RegisteredEndpoint *e, const BH__NamedLimit *told,
+/* Merges the limit that an endpoint advertises. `update->heard_us` is the time when the limit was read or, if
+ * the response contained none, when its request was sent. Returns true if the known limit changes. */
+bool bh__registered_endpoint_hear_limit(BH__RegisteredEndpoint *e, const BH__NamedLimit *update,
 										uint64_t now_us)
 {
-	bool changed = told->in_force ? bh__named_limit_hear(&e->signals.named, told->per_s, told->heard_us)
-								  : bh__named_limit_hear_none(&e->signals.named, told->heard_us);
+	bool changed = update->in_force ? bh__named_limit_hear(&e->signals.named, update->per_s, update->heard_us)
+									: bh__named_limit_hear_none(&e->signals.named, update->heard_us);
 
 	if (changed)
 		bh__endpoint_rate_set_named(&e->rate, &e->signals.named, now_us);
@@ -145,7 +150,7 @@
 	return changed;
 }
 
-/* Returns true if an endpoint of a service may get a request that is not limited. */
+/* Returns true if a service has an endpoint that can be used now without a rate limit. */
 bool bh__registry_has_unlimited(const BH__Registry *r, const char *service, uint64_t now_us)
 {
 	for (guint i = 0; i < r->table->len; i++) {
@@ -157,27 +162,28 @@
 	return false;
 }
 
-/* Returns when the first of a service's endpoints may get a request, where each wants none of this node for
- * now, or its home grants none; 0: one may get it now, or there is none that can be used. */
+/* Returns the earliest time at which an endpoint of a service becomes available, if all usable ones have
+ * asked this node for backoff or get no grants from their home node; 0 if one is available now or none is
+ * usable. */
 uint64_t bh__registry_get_taking_us(const BH__Registry *r, const char *service, uint64_t now_us)
 {
-	uint64_t soonest_us = 0;
+	uint64_t earliest_us = 0;
 
 	for (guint i = 0; i < r->table->len; i++) {
 		const BH__RegisteredEndpoint *e = bh__registry_get(r, i);
-		uint64_t taking_us = MAX(e->full_until_us, e->signals.backoff_until_us);
+		uint64_t available_us = MAX(e->full_until_us, e->signals.backoff_until_us);
 		if (strcmp(e->entry.service, service) != 0 || !bh__registered_endpoint_is_usable(e, now_us))
 			continue;
-		if (taking_us <= now_us)
+		if (available_us <= now_us)
 			return 0;
-		soonest_us = soonest_us ? MIN(soonest_us, taking_us) : taking_us;
+		earliest_us = earliest_us ? MIN(earliest_us, available_us) : available_us;
 	}
-	return soonest_us;
+	return earliest_us;
 }
 
-/* An endpoint wants nothing of this node until a time. The latest such time counts: neither a shorter word
- * nor a success ends it, since answers are read in another order than they were made. Returns true if it is
- * later than was known. */
+/* Records that an endpoint asked this node for backoff until a time. The latest such time counts: neither a
+ * shorter backoff nor a success ends it, since responses may be read in a different order than they were
+ * made. Returns true if the time is later than the known one. */
 bool bh__registered_endpoint_hear_backoff(BH__RegisteredEndpoint *e, uint64_t until_us)
 {
 	if (until_us <= e->signals.backoff_until_us)
@@ -186,9 +192,9 @@
 	return true;
 }
 
-/* An endpoint has turned away a request of this or another node, and asked for backoff until a time: until
- * then it counts as one whose slots are all taken. Without that each node finds it idle, and is turned away
- * once. Returns true if that was not known. */
+/* Records that an endpoint rejected a request of any node and asked for backoff until a time. Until then all
+ * its slots count as occupied; otherwise each node would find it idle and be rejected once. Returns true if
+ * the overload was not known. */
 bool bh__registered_endpoint_hear_overload(BH__RegisteredEndpoint *e, uint64_t until_us, uint64_t now_us)
 {
 	bool is_new = now_us >= e->signals.overloaded_until_us && now_us < until_us;
@@ -197,8 +203,8 @@
 	return is_new;
 }
 
-/* Lists the endpoints of a service that want nothing of this node for now; returns how many those are, or
- * `max` if there are more. */
+/* Lists in `out` the ids of a service's endpoints from which this node currently has a request for backoff.
+ * Returns their number, at most `max`. */
 unsigned bh__registry_list_backoffs(const BH__Registry *r, const char *service, uint64_t now_us,
 									uint64_t out[], unsigned max)
 {
--- a/src/libbayhoist/fingerprint.c
+++ b/src/libbayhoist/fingerprint.c
@@ -1,18 +1,18 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Fingerprints of requests: the first 128 bits of a SHA-256. A fast hash with a secret seed would do until
- * somebody learns the seed, who could then make a request that is taken for another account's; this needs no
- * secret. */
+/* Request fingerprints: the first 128 bits of a SHA-256 digest. A fast keyed hash would be safe only as long
+ * as its seed stays secret: whoever knows the seed can construct a request that collides with another
+ * account's request. SHA-256 needs no secret. */
 #include "bayhoist/fingerprint.h"
 
 #include <glib.h>
 #include <openssl/evp.h>
 #include <string.h>
 
-#define WORD_DIGITS_ 16 /* of 64 bits in hexadecimal */
+#define WORD_DIGITS_ 16 /* hexadecimal digits of a 64-bit word */
 
 static void add_text_(EVP_MD_CTX *sha, const char *text);
 
-/* Returns the fingerprint of a request. */
+/* Returns the fingerprint of a request, computed from its account, method, target and body. */
 BH__Fingerprint bh__fingerprint_compute(const BH__FingerprintSource *source)
 {
 	uint8_t digest[EVP_MAX_MD_SIZE];
@@ -31,7 +31,8 @@
 	return f;
 }
 
-/* Adds a text with its terminator, so that none can run on into the next. */
+/* Hashes a string including its terminator, so that moving characters from one field to the next changes the
+ * digest. */
 static void add_text_(EVP_MD_CTX *sha, const char *text)
 {
 	EVP_DigestUpdate(sha, text, strlen(text) + 1);
@@ -47,14 +48,15 @@
 	return f->high == 0 && f->low == 0;
 }
 
-/* Writes a fingerprint in hexadecimal. */
+/* Formats a fingerprint as 32 lower-case hexadecimal digits. */
 void bh__fingerprint_write(const BH__Fingerprint *f, char out[BH__FINGERPRINT_TEXT_LEN])
 {
 	g_snprintf(out, BH__FINGERPRINT_TEXT_LEN, "%016" G_GINT64_MODIFIER "x%016" G_GINT64_MODIFIER "x", f->high,
 			   f->low);
 }
 
-/* Reads what bh__fingerprint_write() wrote. Returns false if it is anything else. */
+/* Parses the output of bh__fingerprint_write(). Returns false on any other input and leaves `out` unchanged.
+ */
 bool bh__fingerprint_read(const char *text, BH__Fingerprint *out)
 {
 	char high[WORD_DIGITS_ + 1];
--- a/src/libbayhoist/include/private/registry_internal.h
+++ b/src/libbayhoist/include/private/registry_internal.h
@@ -1,34 +1,36 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What the modules of the registry share. */
+/* Declarations shared by the modules of the registry. */
 #ifndef BAYHOIST_PRIVATE_REGISTRY_INTERNAL_H
 #define BAYHOIST_PRIVATE_REGISTRY_INTERNAL_H
 
 #include "bayhoist/registry.h"
 
 #define BH__ERAS_KEPT                                                                                        \
-	4 /* a store that goes back more often than that while entries still tell of before is not expected */
+	4 /* number of store rollbacks that are tracked; more are not expected while entries written before the  \
+		 first of them still exist */
 
-/* The store has gone back while this node ran. */
+/* A rollback of the store that this node observed. */
 typedef struct {
-	BH__Place start; /* first place of the new era that was seen: entries that were last written up to there
-						are of before */
-	uint64_t before; /* era that this node knew before */
+	BH__Place start; /* first observed version of the new era: entries last written at or before its revision
+						date from the previous era */
+	uint64_t before; /* era that this node knew before the rollback */
 } BH__EraStart;
 
 struct BH__Registry {
-	GPtrArray *table; /* BH__RegisteredEndpoint */
+	GPtrArray *table; /* BH__RegisteredEndpoint, in order of arrival */
 	GHashTable *by_id;
 	GRand *rand;
-	uint64_t now_us;                 /* of the latest tick */
-	uint64_t version;                /* grows with each change of what may be used */
-	uint64_t lives;                  /* starts of endpoints that were seen */
-	BH__Place place;                 /* up to which all changes are known */
-	BH__EraStart era[BH__ERAS_KEPT]; /* the latest first */
+	uint64_t now_us;                 /* time of the latest tick */
+	uint64_t version;                /* incremented with each change of the set of usable endpoints */
+	uint64_t lives;                  /* number of endpoint incarnations observed */
+	BH__Place place;                 /* store version up to which all changes are merged */
+	BH__EraStart era[BH__ERAS_KEPT]; /* latest first */
 	unsigned era_count;
-	BH__Place changed;    /* with which the last change of what is believed was learnt */
-	GHashTable *departed; /* BH__EndpointDeparture by endpoint id */
-	BH__Place floor;     /* latest place as of which an endpoint was gone that is in neither table any more */
-	BH__Place forgotten; /* latest place with which that had been learnt */
+	BH__Place changed;    /* store version with which the last visible change was merged */
+	GHashTable *departed; /* endpoint id -> BH__EndpointDeparture */
+	BH__Place
+		floor; /* latest store version as of which an endpoint was gone whose departure has been evicted */
+	BH__Place forgotten; /* latest store version with which an evicted departure was merged */
 	GArray *halls;       /* BH__HallDrain */
 	uint64_t halls_version;
 };
--- a/src/libbayhoist/include/private/routes.h
+++ b/src/libbayhoist/include/private/routes.h
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The entry node's view of all pools: where they are, who schedules them, how long they make one wait. */
+/* The entry node's view of all pools: their location, their scheduler and their expected waiting time. */
 #ifndef BAYHOIST_PRIVATE_ROUTES_H
 #define BAYHOIST_PRIVATE_ROUTES_H
 
@@ -11,14 +11,14 @@
 	uint64_t model_id;
 	char hall[BH__NAME_LEN];
 	char model[BH__NAME_LEN];
-	uint32_t endpoints; /* not marked as leaving */
-	uint64_t scheduler; /* as of members_version */
+	uint32_t endpoints; /* number of endpoints that are not leaving */
+	uint64_t scheduler; /* scheduling node, valid for members_version */
 	uint64_t members_version;
-	uint64_t held_to_boot; /* the scheduler life that was told our live grants */
-	uint32_t held_told;    /* how many it was told of */
+	uint64_t held_to_boot; /* boot id of the scheduler that was last notified of this node's live grants */
+	uint32_t held_told;    /* number of grants in that notification */
 	BH__PoolDigest digest;
-	uint64_t digest_us;   /* when it came; 0: never */
-	uint64_t sent_tokens; /* asked for since the digest */
+	uint64_t digest_us;   /* when the digest was received; 0: never */
+	uint64_t sent_tokens; /* prompt tokens sent to the pool since the digest was received */
 } BH__Route;
 
 typedef struct BH__Routes BH__Routes;
--- a/src/libbayhoist/registry.c
+++ b/src/libbayhoist/registry.c
@@ -1,41 +1,42 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The table of registered endpoints, and the merging of news of them.
- *
- * What is kept of an endpoint only grows: the latest place as of which its entry was gone, its latest start
- * and the last writing of that start's entry, the latest start that drained. So the order in which news come,
- * and how often, makes no difference, and what an older place tells changes nothing. A node that read a
- * stretch of the store's history which the others knew once took it for news, and an endpoint that had left
- * was used again for two seconds. */
+/* The table of registered endpoints and the merging of endpoint updates. The history of each endpoint only
+ * grows: the latest version as of which its entry was gone, its latest start with the last write of that
+ * start's entry, and the latest start that announced its leaving. The result therefore does not depend on the
+ * order or number of updates, and an update from an older version has no effect. Otherwise a node that
+ * replays a stretch of the store's history already known to the others would broadcast outdated changes, and
+ * the nodes would use an endpoint that has left, in one case for two seconds. */
 #include "registry_internal.h"
 
 #include <string.h>
 #include "bayhoist/hash.h"
 
-/* Endpoints that are gone, of which it is remembered when: more than go in a release of the largest fleet. */
-#define DEPARTED_KEPT_ 1024
-/* An endpoint that is cold for so much longer or shorter than was known has turned cold again, or is warm:
- * all hear of it. What is left of the time comes a little different with each check-in. */
-#define COLD_DIFFERS_US_ BH__SECOND_US
-
-static bool merge_(BH__Registry *r, uint64_t id, const BH__EndpointEntry *entry, const BH__EndpointPast *told,
-				   uint64_t gone_at_us, BH__Place as_of);
-static bool merge_known_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry,
-						 const BH__EndpointPast *told, uint64_t gone_at_us, BH__Place as_of);
-static void note_silent_change_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointPast *before,
-								BH__Place as_of);
+/* Maximum number of departed endpoints whose history is kept: more than the number that leave during a
+ * release of the largest fleet. */
+#define DEPARTURES_MAX_ 1024
+/* A change of an endpoint's remaining cold time by more than this means that it has become cold again or
+ * warm, and is sent to all nodes. Smaller differences are ignored, because the remaining time varies slightly
+ * with each check-in. */
+#define COLD_TOLERANCE_US_ BH__SECOND_US
+
+static bool merge_(BH__Registry *r, uint64_t id, const BH__EndpointEntry *entry,
+				   const BH__EndpointPast *update, uint64_t gone_at_us, BH__Place as_of);
+static bool merge_listed_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry,
+						  const BH__EndpointPast *update, uint64_t gone_at_us, BH__Place as_of);
+static void note_invisible_change_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointPast *before,
+								   BH__Place as_of);
 static BH__Place note_change_(BH__Registry *r, BH__Place as_of);
-static bool is_entry_later_(const BH__EndpointPast *known, const BH__EndpointPast *told);
-static void join_(BH__EndpointPast *past, const BH__EndpointPast *told);
+static bool is_entry_later_(const BH__EndpointPast *known, const BH__EndpointPast *update);
+static void merge_past_(BH__EndpointPast *past, const BH__EndpointPast *update);
 static bool is_gone_(const BH__EndpointPast *past);
-static bool drains_(const BH__EndpointPast *past);
+static bool is_draining_(const BH__EndpointPast *past);
 static bool differs_in_cold_(const BH__Registry *r, const BH__EndpointEntry *was,
 							 const BH__EndpointEntry *is);
-static BH__RegisteredEndpoint *add_(BH__Registry *r, uint64_t id);
-static void take_entry_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry);
+static BH__RegisteredEndpoint *add_endpoint_(BH__Registry *r, uint64_t id);
+static void set_entry_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry);
 static void merge_departed_(BH__Registry *r, uint64_t id, const BH__EndpointPast *past, BH__Place as_of);
-static void depart_(BH__Registry *r, BH__RegisteredEndpoint *e);
-static void remember_(BH__Registry *r, const BH__EndpointDeparture *departure);
-static void forget_oldest_(BH__Registry *r);
+static void remove_departed_(BH__Registry *r, BH__RegisteredEndpoint *e);
+static void add_departure_(BH__Registry *r, const BH__EndpointDeparture *departure);
+static void evict_oldest_departure_(BH__Registry *r);
 
 BH__Registry *bh__registry_new(uint32_t seed)
 {
@@ -59,34 +60,37 @@
 	g_free(r);
 }
 
-/* Returns a number that grows with each endpoint that comes, drains or goes. */
+/* Returns a number that grows each time the set of usable endpoints changes: an endpoint appears, drains or
+ * departs. */
 uint64_t bh__registry_get_version(const BH__Registry *r)
 {
 	return r->version;
 }
 
-/* Returns the place in the store's history up to which all changes are in the table. */
+/* Returns the store version up to which all changes are in the table. */
 BH__Place bh__registry_get_place(const BH__Registry *r)
 {
 	return r->place;
 }
 
-/* Returns the place with which the last change of what is believed was learnt. */
+/* Returns the store version with which the last visible change was merged. */
 BH__Place bh__registry_get_changed_place(const BH__Registry *r)
 {
 	return r->changed;
 }
 
-/* All changes up to a place have been taken, from the store or from a node that knew them. */
+/* Records that all changes up to a store version are merged, read from the store or received from a node that
+ * had them. */
 void bh__registry_set_place(BH__Registry *r, BH__Place place)
 {
 	r->place = bh__place_max(r->place, place);
 }
 
-/* The store has come back from a copy, or another node has told so; `start` is the earliest place of the new
- * era that is known. Revisions up to there were given out before, so that entries which show them were
- * written in the era before, and what was learnt after the copy was made holds against them: an endpoint that
- * left does not come back with the copy. */
+/* Starts a new era after the store was restored from a backup, observed by this node or reported by another.
+ * `start` is the earliest known version of the new era. Revisions up to it had already been assigned in the
+ * previous era, so entries that show them were written in that era, and what this node merged after the
+ * backup was made overrides them: the restored store does not bring back an endpoint that has left. Has no
+ * effect if this node has no state yet or already knows the era with an earlier start. */
 void bh__registry_begin_era(BH__Registry *r, BH__Place start)
 {
 	bool is_new = !r->era_count || start.era > r->era[0].start.era;
@@ -105,14 +109,15 @@
 	}
 }
 
-/* Returns where the era of now began, as far as this node has seen it begin. */
+/* Returns the earliest version of the current era that this node has observed, or zero if it has observed no
+ * rollback. */
 BH__Place bh__registry_get_era_start(const BH__Registry *r)
 {
 	return r->era_count ? r->era[0].start : (BH__Place){0};
 }
 
-/* Returns the place at which an entry was written: in an earlier era than that in which it was read, if it is
- * part of the copy that the store came back from. */
+/* Returns the version at which an entry was written. For an entry that was part of the restored backup, this
+ * is in an earlier era than the one in which it was read. */
 BH__Place bh__registry_written(const BH__Registry *r, BH__Place p)
 {
 	for (unsigned i = 0; i < r->era_count; i++)
@@ -121,65 +126,68 @@
 	return p;
 }
 
-/* Takes an endpoint's entry, written at the place `listed` and learnt with all else up to `as_of`. Returns
- * true if it changes what is believed. */
+/* Merges an endpoint's entry that was written at version `listed` and read with all other changes up to
+ * `as_of`. Returns true if this changes what this node sees of the endpoint. */
 bool bh__registry_put(BH__Registry *r, const BH__EndpointEntry *entry, BH__Place listed, BH__Place as_of)
 {
-	BH__EndpointPast told = {.listed = bh__registry_written(r, listed),
-							 .born_ms = entry->born_ms,
-							 .drained = entry->draining,
-							 .drained_born_ms = entry->born_ms};
+	BH__EndpointPast update = {.listed = bh__registry_written(r, listed),
+							   .born_ms = entry->born_ms,
+							   .drained = entry->draining,
+							   .drained_born_ms = entry->born_ms};
 
-	return merge_(r, bh__hash_name(entry->id), entry, &told, 0, as_of);
+	return merge_(r, bh__hash_name(entry->id), entry, &update, 0, as_of);
 }
 
-/* An endpoint's entry was gone as of a place: it is taken as gone from `gone_at_us` on, unless it is written
- * again. If that was known, the time that it was given then stays. */
+/* Records that an endpoint's entry did not exist as of version `gone`. The endpoint counts as gone from
+ * `gone_at_us` on, unless the entry is written again. If a removal of the same or a later version is known,
+ * its time is kept. */
 void bh__registry_remove(BH__Registry *r, uint64_t endpoint_id, BH__Place gone, uint64_t gone_at_us,
 						 BH__Place as_of)
 {
 	const BH__RegisteredEndpoint *e = bh__registry_find(r, endpoint_id);
-	BH__EndpointPast told = {.gone = gone};
+	BH__EndpointPast update = {.gone = gone};
 
 	if (!e || bh__place_is_after(gone, e->past.gone))
-		merge_(r, endpoint_id, NULL, &told, gone_at_us, as_of);
+		merge_(r, endpoint_id, NULL, &update, gone_at_us, as_of);
 }
 
-/* Takes what another node tells of an endpoint that it knows. */
+/* Merges the state of a listed endpoint received from another node. Returns true if this changes what this
+ * node sees of the endpoint. */
 bool bh__registry_put_fact(BH__Registry *r, const BH__EndpointFact *f, BH__Place as_of, uint64_t now_us)
 {
-	BH__EndpointPast told = f->past;
+	BH__EndpointPast update = f->past;
 	BH__EndpointEntry entry = f->entry;
 
-	told.listed = bh__registry_written(r, told.listed);
+	update.listed = bh__registry_written(r, update.listed);
 	entry.cold_until_us = f->cold_in_us ? now_us + f->cold_in_us : 0;
-	return merge_(r, bh__hash_name(entry.id), &entry, &told, f->gone_in_us ? now_us + f->gone_in_us : 0,
+	return merge_(r, bh__hash_name(entry.id), &entry, &update, f->gone_in_us ? now_us + f->gone_in_us : 0,
 				  as_of);
 }
 
-/* Takes what another node tells of an endpoint that is gone. */
+/* Merges the state of a departed endpoint received from another node. */
 void bh__registry_put_departure(BH__Registry *r, const BH__EndpointDeparture *d, BH__Place as_of)
 {
-	BH__EndpointPast told = d->past;
+	BH__EndpointPast update = d->past;
 
-	told.listed = bh__registry_written(r, told.listed);
-	merge_(r, d->endpoint_id, NULL, &told, 0, as_of);
+	update.listed = bh__registry_written(r, update.listed);
+	merge_(r, d->endpoint_id, NULL, &update, 0, as_of);
 }
 
-/* An endpoint has said in an answer that it leaves, in the life that began at `born_ms`. That has no place in
- * the store's history, and needs none: a start that has said so leaves, whatever is read of it before or
- * after, and only a later start is used again. Returns true if that changes what is believed of an endpoint
- * in the table; for one that is not in it yet it is remembered. */
+/* Records that the incarnation of an endpoint started at `born_ms` has announced its leaving in a response.
+ * The announcement has no store version and needs none: it holds for that incarnation regardless of earlier
+ * or later reads of its entry, and only a later incarnation is used again. Returns true if this changes what
+ * this node sees of an endpoint in the table; for an endpoint that is not in the table yet, the announcement
+ * is kept. */
 bool bh__registry_note_leaving(BH__Registry *r, uint64_t endpoint_id, uint64_t born_ms)
 {
-	BH__EndpointPast told = {.drained = true, .drained_born_ms = born_ms};
+	BH__EndpointPast update = {.drained = true, .drained_born_ms = born_ms};
 
-	return merge_(r, endpoint_id, NULL, &told, 0, (BH__Place){0});
+	return merge_(r, endpoint_id, NULL, &update, 0, (BH__Place){0});
 }
 
-/* A whole list was read, of the store or of another node, which holds as of a place: endpoints whose ids
- * (uint64_t) are not in `ids`, and of which nothing later is known, were gone by then. Of those that are
- * known to be gone it says nothing new. */
+/* Applies a complete list of endpoints as of a version, read from the store or received from another node.
+ * Endpoints whose ids (uint64_t) are not in `ids` count as gone as of that version, unless a later write is
+ * known. Endpoints already known to be gone do not change. */
 void bh__registry_keep_only(BH__Registry *r, GHashTable *ids, BH__Place as_of, uint64_t gone_at_us)
 {
 	for (guint i = 0; i < r->table->len; i++) {
@@ -189,60 +197,62 @@
 	}
 }
 
-/* Merges news of an endpoint into what is known. `entry` NULL: the news is only that it is gone, or was;
- * `gone_at_us` 0: at once. Returns true if what is believed of an endpoint in the table changes. */
-static bool merge_(BH__Registry *r, uint64_t id, const BH__EndpointEntry *entry, const BH__EndpointPast *told,
-				   uint64_t gone_at_us, BH__Place as_of)
+/* Merges an update of an endpoint into its known state. `entry` NULL: the update contains only history.
+ * `gone_at_us` 0: a removal takes effect at once. Returns true if what this node sees of an endpoint in the
+ * table changes. */
+static bool merge_(BH__Registry *r, uint64_t id, const BH__EndpointEntry *entry,
+				   const BH__EndpointPast *update, uint64_t gone_at_us, BH__Place as_of)
 {
 	BH__RegisteredEndpoint *e = bh__registry_find(r, id);
 	BH__EndpointDeparture *d = e ? NULL : g_hash_table_lookup(r->departed, &id);
-	BH__EndpointPast after = d ? d->past : (BH__EndpointPast){0};
+	BH__EndpointPast merged = d ? d->past : (BH__EndpointPast){0};
 	BH__EndpointSignals signals = d ? d->signals : (BH__EndpointSignals){0};
-	uint64_t born_ms = after.born_ms;
+	uint64_t born_ms = merged.born_ms;
 
 	if (e)
-		return merge_known_(r, e, entry, told, gone_at_us, as_of);
-	join_(&after, told);
-	if (!entry || (is_gone_(&after) && (d || !gone_at_us))) {
-		merge_departed_(r, id, &after, as_of);
+		return merge_listed_(r, e, entry, update, gone_at_us, as_of);
+	merge_past_(&merged, update);
+	if (!entry || (is_gone_(&merged) && (d || !gone_at_us))) {
+		merge_departed_(r, id, &merged, as_of);
 		return false;
 	}
-	if (!d && !bh__place_is_start(r->floor) && !bh__place_is_after(told->listed, r->floor))
-		return false; /* it may be one that is gone and forgotten */
-	e = add_(r, id);
+	if (!d && !bh__place_is_start(r->floor) && !bh__place_is_after(update->listed, r->floor))
+		return false; /* it may have departed and been evicted */
+	e = add_endpoint_(r, id);
 	if (d)
-		e->past = after;
-	merge_known_(r, e, entry, told, gone_at_us, as_of);
-	if (e->entry.born_ms == born_ms) { /* it is the same start */
+		e->past = merged;
+	merge_listed_(r, e, entry, update, gone_at_us, as_of);
+	if (e->entry.born_ms == born_ms) { /* it is the same incarnation */
 		e->signals = signals;
 		bh__endpoint_rate_set_named(&e->rate, &e->signals.named, 0);
 	}
 	return true;
 }
 
-/* Merges news of an endpoint in the table, which may have just been added without an entry. */
-static bool merge_known_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry,
-						 const BH__EndpointPast *told, uint64_t gone_at_us, BH__Place as_of)
+/* Merges an update of an endpoint in the table, which may have just been added without an entry. Returns true
+ * if what this node sees of it changes. */
+static bool merge_listed_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry,
+						  const BH__EndpointPast *update, uint64_t gone_at_us, BH__Place as_of)
 {
 	BH__EndpointPast before = e->past;
 	BH__EndpointEntry was = e->entry;
 	uint64_t was_gone_at_us = e->gone_at_us;
 	bool is_new = !was.id[0];
 
-	join_(&e->past, told);
-	if (is_new || (entry && is_entry_later_(&before, told)))
-		take_entry_(r, e, entry);
-	e->entry.draining = drains_(&e->past);
+	merge_past_(&e->past, update);
+	if (is_new || (entry && is_entry_later_(&before, update)))
+		set_entry_(r, e, entry);
+	e->entry.draining = is_draining_(&e->past);
 	if (!is_gone_(&e->past))
 		e->gone_at_us = 0;
 	else if (!was_gone_at_us || bh__place_is_after(e->past.gone, before.gone))
 		e->gone_at_us = MAX(gone_at_us, 1);
-	else if (!bh__place_compare(told->gone, e->past.gone))
+	else if (!bh__place_compare(update->gone, e->past.gone))
 		e->gone_at_us = MIN(e->gone_at_us, MAX(gone_at_us, 1));
 	if (!is_new && was_gone_at_us == e->gone_at_us && was.draining == e->entry.draining &&
 		was.born_ms == e->entry.born_ms && !strcmp(was.address, e->entry.address) &&
 		!differs_in_cold_(r, &was, &e->entry)) {
-		note_silent_change_(r, e, &before, as_of);
+		note_invisible_change_(r, e, &before, as_of);
 		return false;
 	}
 	e->learnt = note_change_(r, as_of);
@@ -250,65 +260,71 @@
 	return true;
 }
 
+/* Returns true if the remaining cold times of two entries differ by more than the tolerance. */
 static bool differs_in_cold_(const BH__Registry *r, const BH__EndpointEntry *was, const BH__EndpointEntry *is)
 {
 	uint64_t was_us = MAX(was->cold_until_us, r->now_us);
 	uint64_t is_us = MAX(is->cold_until_us, r->now_us);
 
-	return MAX(was_us, is_us) - MIN(was_us, is_us) > COLD_DIFFERS_US_;
+	return MAX(was_us, is_us) - MIN(was_us, is_us) > COLD_TOLERANCE_US_;
 }
 
-/* An endpoint that went and came back between two looks is used as before, but those who heard that it went
- * must hear that it is back; and one that is listed anew in a new era is known to be there by that. */
-static void note_silent_change_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointPast *before,
-								BH__Place as_of)
+/* Records a change that does not affect the use of an endpoint but must reach other nodes. If the endpoint
+ * went and came back between two platform reads, nodes that received its removal must receive its return. If
+ * it is listed anew in a new era, other nodes must know that it is still there. */
+static void note_invisible_change_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointPast *before,
+								   BH__Place as_of)
 {
 	if (bh__place_is_after(e->past.gone, before->gone) || e->past.listed.era != before->listed.era)
 		e->learnt = note_change_(r, as_of);
 }
 
-/* Returns the place with which a change is learnt: what comes late, of a place that was thought known, counts
- * as of now. */
+/* Returns the version with which a change counts as merged. A change that arrives late, from a version
+ * already passed, counts as merged now. */
 static BH__Place note_change_(BH__Registry *r, BH__Place as_of)
 {
 	r->changed = bh__place_max(r->changed, bh__place_max(as_of, r->place));
 	return r->changed;
 }
 
-/* Returns true if news hold a later entry than is known: of a later start, or written later by the same. */
-static bool is_entry_later_(const BH__EndpointPast *known, const BH__EndpointPast *told)
+/* Returns true if an update has a later entry than the known one: from a later start, or written later by the
+ * same start. */
+static bool is_entry_later_(const BH__EndpointPast *known, const BH__EndpointPast *update)
 {
-	if (told->born_ms != known->born_ms)
-		return told->born_ms > known->born_ms;
-	return bh__place_is_after(told->listed, known->listed);
+	if (update->born_ms != known->born_ms)
+		return update->born_ms > known->born_ms;
+	return bh__place_is_after(update->listed, known->listed);
 }
 
-static void join_(BH__EndpointPast *past, const BH__EndpointPast *told)
+/* Merges the history in an update into a known one. */
+static void merge_past_(BH__EndpointPast *past, const BH__EndpointPast *update)
 {
-	past->gone = bh__place_max(past->gone, told->gone);
-	if (is_entry_later_(past, told)) {
-		past->born_ms = told->born_ms;
-		past->listed = told->listed;
+	past->gone = bh__place_max(past->gone, update->gone);
+	if (is_entry_later_(past, update)) {
+		past->born_ms = update->born_ms;
+		past->listed = update->listed;
 	}
-	if (told->drained && (!past->drained || told->drained_born_ms > past->drained_born_ms)) {
+	if (update->drained && (!past->drained || update->drained_born_ms > past->drained_born_ms)) {
 		past->drained = true;
-		past->drained_born_ms = told->drained_born_ms;
+		past->drained_born_ms = update->drained_born_ms;
 	}
 }
 
+/* Returns true if an endpoint has not written its entry since it was last known to be gone. */
 static bool is_gone_(const BH__EndpointPast *past)
 {
 	return bh__place_is_after(past->gone, past->listed);
 }
 
-/* Returns true if the latest start of an endpoint has said that it leaves. Only a later start takes that
- * back: an entry that says otherwise is an old one that was written late. */
-static bool drains_(const BH__EndpointPast *past)
+/* Returns true if the latest incarnation of an endpoint has announced its leaving. Only a later incarnation
+ * revokes this: an entry of the same incarnation without the mark is an old one that was written late. */
+static bool is_draining_(const BH__EndpointPast *past)
 {
 	return past->drained && past->born_ms <= past->drained_born_ms;
 }
 
-static BH__RegisteredEndpoint *add_(BH__Registry *r, uint64_t id)
+/* Adds an endpoint without an entry, and drops its departure. */
+static BH__RegisteredEndpoint *add_endpoint_(BH__Registry *r, uint64_t id)
 {
 	BH__RegisteredEndpoint *e = g_new0(BH__RegisteredEndpoint, 1);
 
@@ -319,15 +335,15 @@
 	return e;
 }
 
-/* Takes the entry of an endpoint. If it has started again under its id, or is new, nothing holds that was
- * learnt of what was there before. */
-static void take_entry_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry)
+/* Sets the entry of an endpoint. If the endpoint is new or has restarted under its id, all state of the
+ * earlier incarnation is reset. */
+static void set_entry_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry)
 {
-	bool starts = !e->entry.id[0] || entry->born_ms > e->entry.born_ms;
+	bool restarted = !e->entry.id[0] || entry->born_ms > e->entry.born_ms;
 
 	e->entry = *entry;
 	e->hall_drains = bh__registry_is_hall_draining(r, entry->hall);
-	if (!starts)
+	if (!restarted)
 		return;
 	e->life = ++r->lives;
 	e->in_flight = 0;
@@ -341,55 +357,57 @@
 	e->full_until_us = 0;
 }
 
-/* Takes that an endpoint is gone, or remains so. */
+/* Merges an update of an endpoint that is gone, or of one that is not in the table. */
 static void merge_departed_(BH__Registry *r, uint64_t id, const BH__EndpointPast *past, BH__Place as_of)
 {
 	BH__EndpointDeparture *d = g_hash_table_lookup(r->departed, &id);
 
 	if (!d) {
-		remember_(
+		add_departure_(
 			r, &(BH__EndpointDeparture){.endpoint_id = id, .past = *past, .learnt = note_change_(r, as_of)});
 		return;
 	}
-	if (bh__place_is_after(past->gone, d->past.gone)) /* others may have seen it come back meanwhile */
+	if (bh__place_is_after(past->gone, d->past.gone)) /* other nodes may have seen it come back meanwhile */
 		d->learnt = note_change_(r, as_of);
 	d->past = *past;
 }
 
-/* Drops endpoints that are gone, and ends what time ends. */
+/* Removes endpoints that count as gone, and ends expired hall drains. */
 void bh__registry_process_tick(BH__Registry *r, uint64_t now_us)
 {
 	r->now_us = now_us;
 	for (guint i = r->table->len; i-- > 0;) {
 		BH__RegisteredEndpoint *e = bh__registry_get(r, i);
 		if (e->gone_at_us && now_us >= e->gone_at_us)
-			depart_(r, e);
+			remove_departed_(r, e);
 	}
 	bh__registry_process_halls(r, now_us);
 }
 
-static void depart_(BH__Registry *r, BH__RegisteredEndpoint *e)
+/* Moves an endpoint from the table to the departures. */
+static void remove_departed_(BH__Registry *r, BH__RegisteredEndpoint *e)
 {
 	r->version++;
-	remember_(
+	add_departure_(
 		r, &(BH__EndpointDeparture){
 			   .endpoint_id = e->endpoint_id, .past = e->past, .learnt = e->learnt, .signals = e->signals});
 	g_hash_table_remove(r->by_id, &e->endpoint_id);
 	g_ptr_array_remove(r->table, e);
 }
 
-static void remember_(BH__Registry *r, const BH__EndpointDeparture *departure)
+/* Stores a copy of a departure, evicting the oldest one if there are too many. */
+static void add_departure_(BH__Registry *r, const BH__EndpointDeparture *departure)
 {
 	BH__EndpointDeparture *d = g_memdup2(departure, sizeof *departure);
 
 	g_hash_table_replace(r->departed, &d->endpoint_id, d);
-	if (g_hash_table_size(r->departed) > DEPARTED_KEPT_)
-		forget_oldest_(r);
+	if (g_hash_table_size(r->departed) > DEPARTURES_MAX_)
+		evict_oldest_departure_(r);
 }
 
-/* Forgets the endpoint that was gone first. From now on an endpoint that is not known must have been listed
- * later. */
-static void forget_oldest_(BH__Registry *r)
+/* Evicts the departed endpoint with the oldest removal. From then on, an update of an unknown endpoint counts
+ * only if its entry was written later than that removal. */
+static void evict_oldest_departure_(BH__Registry *r)
 {
 	BH__EndpointDeparture *oldest = NULL;
 	GHashTableIter it;
@@ -406,8 +424,9 @@
 	g_hash_table_remove(r->departed, &oldest->endpoint_id);
 }
 
-/* Adds to `facts` (BH__EndpointFact) and `departures` (BH__EndpointDeparture) what a node does not know that
- * has all up to a place. Returns false if that cannot be told any more: it is to be told the whole table. */
+/* Appends to `facts` (BH__EndpointFact) and `departures` (BH__EndpointDeparture) all changes merged after a
+ * version. Returns false if the changes since then are no longer complete; the receiver then needs the whole
+ * table. */
 bool bh__registry_list_changes(const BH__Registry *r, BH__Place since, uint64_t now_us, GArray *facts,
 							   GArray *departures)
 {
@@ -428,7 +447,7 @@
 	return true;
 }
 
-/* Adds what is known of the endpoint at an index of the table. */
+/* Appends the state of the endpoint at a table index to `facts`. */
 void bh__registry_add_fact(const BH__Registry *r, unsigned index, uint64_t now_us, GArray *facts)
 {
 	const BH__RegisteredEndpoint *e = bh__registry_get(r, index);
@@ -439,12 +458,13 @@
 	g_array_append_val(facts, f);
 }
 
+/* Returns an endpoint in the table, or NULL. */
 BH__RegisteredEndpoint *bh__registry_find(const BH__Registry *r, uint64_t endpoint_id)
 {
 	return g_hash_table_lookup(r->by_id, &endpoint_id);
 }
 
-/* Returns the endpoint at an address, the latest to come there, or NULL. */
+/* Returns the endpoint at an address, the most recently added one if there are several, or NULL. */
 BH__RegisteredEndpoint *bh__registry_find_address(const BH__Registry *r, const char *address)
 {
 	for (guint i = r->table->len; i-- > 0;) {
@@ -465,19 +485,21 @@
 	return g_ptr_array_index(r->table, index);
 }
 
-/* Returns true if an endpoint is there and has not said that it leaves. */
+/* Returns true if an endpoint is present and has not announced its leaving. */
 bool bh__registered_endpoint_stays(const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	return !e->entry.draining && (!e->gone_at_us || now_us < e->gone_at_us);
 }
 
-/* Returns true if new requests may go there, as far as all nodes are concerned. */
+/* Returns true if nodes may send new requests to an endpoint: it is present, not leaving, and its hall is not
+ * draining. */
 bool bh__registered_endpoint_is_usable(const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	return !e->hall_drains && bh__registered_endpoint_stays(e, now_us);
 }
 
-/* Returns true if new requests of this node may go there. */
+/* Returns true if this node may send new requests to an endpoint: it is usable and has not asked this node
+ * for backoff. */
 bool bh__registered_endpoint_takes(const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	return now_us >= e->signals.backoff_until_us && bh__registered_endpoint_is_usable(e, now_us);
--- a/src/libbayhoist/registry_halls.c
+++ b/src/libbayhoist/registry_halls.c
@@ -1,7 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Data halls that operators drain. Like news of endpoints, news of a hall may come in any order and from any
- * node: the latest change in the store's history holds. A hall that is in use again stays in the table, so
- * that what an older place tells of it changes nothing. */
+/* Data halls that operators drain. Updates about a hall, like those about endpoints, may arrive in any order
+ * and from any node; the latest change in the store's history takes precedence. The table also keeps halls
+ * whose drain was taken back, so that an older update cannot restore it. */
 #include "registry_internal.h"
 
 #include <string.h>
@@ -9,9 +9,10 @@
 
 static BH__HallDrain *find_(const BH__Registry *r, const char *name);
 static BH__HallDrain *add_(BH__Registry *r, const char *name);
-static void forget_oldest_(BH__Registry *r);
-static void set_(BH__Registry *r, BH__HallDrain *d, bool draining, BH__Place changed, uint64_t now_us);
-static void follow_(BH__Registry *r, const char *name, bool draining);
+static void evict_oldest_(BH__Registry *r);
+static void set_draining_(BH__Registry *r, BH__HallDrain *d, bool draining, BH__Place changed,
+						  uint64_t now_us);
+static void apply_to_endpoints_(BH__Registry *r, const char *name, bool draining);
 
 static BH__HallDrain *find_(const BH__Registry *r, const char *name)
 {
@@ -23,19 +24,20 @@
 	return NULL;
 }
 
+/* Adds a hall that is not draining, evicting another if the table is full. */
 static BH__HallDrain *add_(BH__Registry *r, const char *name)
 {
 	BH__HallDrain d = {0};
 
 	if (r->halls->len >= BH__HALLS_MAX)
-		forget_oldest_(r);
+		evict_oldest_(r);
 	g_strlcpy(d.name, name, sizeof d.name);
 	g_array_append_val(r->halls, d);
 	return &g_array_index(r->halls, BH__HallDrain, r->halls->len - 1);
 }
 
-/* Forgets the hall that changed first, of those in use if there is one. */
-static void forget_oldest_(BH__Registry *r)
+/* Evicts the hall with the oldest change, preferring halls that are not draining. */
+static void evict_oldest_(BH__Registry *r)
 {
 	guint oldest = 0;
 
@@ -45,12 +47,12 @@
 		if (a->draining != b->draining ? b->draining : bh__place_is_after(b->changed, a->changed))
 			oldest = i;
 	}
-	follow_(r, g_array_index(r->halls, BH__HallDrain, oldest).name, false);
+	apply_to_endpoints_(r, g_array_index(r->halls, BH__HallDrain, oldest).name, false);
 	g_array_remove_index(r->halls, oldest);
 }
 
-/* Takes that a hall drains, or is in use, since a place in the store's history. Returns true if that is news.
- */
+/* Merges a change of a hall's drain state written at version `changed` of the store's history. Returns true
+ * if the change is later than the known one. */
 bool bh__registry_put_hall(BH__Registry *r, const char *name, bool draining, BH__Place changed,
 						   uint64_t now_us)
 {
@@ -58,34 +60,35 @@
 
 	if (d && !bh__place_is_after(changed, d->changed))
 		return false;
-	set_(r, d ? d : add_(r, name), draining, changed, now_us);
+	set_draining_(r, d ? d : add_(r, name), draining, changed, now_us);
 	return true;
 }
 
-/* Takes an entry of the store's list: a hall drains. The entry may be part of the copy that the store came
- * back from. */
+/* Merges an entry from the store's list of draining halls. An entry restored by a store rollback counts as
+ * written in the previous era. */
 bool bh__registry_read_hall(BH__Registry *r, const char *name, BH__Place written, uint64_t now_us)
 {
 	return bh__registry_put_hall(r, name, true, bh__registry_written(r, written), now_us);
 }
 
-/* Sets the state of a hall. */
-static void set_(BH__Registry *r, BH__HallDrain *d, bool draining, BH__Place changed, uint64_t now_us)
+/* Sets the drain state of a hall, and updates its endpoints if the state changes. */
+static void set_draining_(BH__Registry *r, BH__HallDrain *d, bool draining, BH__Place changed,
+						  uint64_t now_us)
 {
-	bool was = d->draining;
+	bool was_draining = d->draining;
 
 	d->draining = draining;
 	d->changed = changed;
 	d->ends_at_us = 0;
 	r->halls_version++;
-	if (was == draining)
+	if (was_draining == draining)
 		return;
 	d->since_us = now_us;
-	follow_(r, d->name, draining);
+	apply_to_endpoints_(r, d->name, draining);
 }
 
-/* Tells the endpoints of a hall. */
-static void follow_(BH__Registry *r, const char *name, bool draining)
+/* Applies the drain state of a hall to its endpoints. */
+static void apply_to_endpoints_(BH__Registry *r, const char *name, bool draining)
 {
 	for (guint i = 0; i < r->table->len; i++) {
 		BH__RegisteredEndpoint *e = bh__registry_get(r, i);
@@ -95,9 +98,9 @@
 	r->version++;
 }
 
-/* All halls that drain as of a place are named in `names` (texts): others are in use. In a store that came
- * back from a copy what an operator wrote since that was made is missing, and written again: such a hall
- * drains on for as long as that may take. */
+/* Ends the drain of each hall that is missing in `names` (char *), the complete set of draining halls as of a
+ * store version, unless a later change is known. After a store rollback, drains written since the backup are
+ * missing until operators write them again, so they continue for BH__OUTAGE_BACK_US. */
 void bh__registry_keep_halls(BH__Registry *r, GHashTable *names, BH__Place as_of, uint64_t now_us)
 {
 	for (guint i = 0; i < r->halls->len; i++) {
@@ -105,7 +108,7 @@
 		if (!d->draining || g_hash_table_contains(names, d->name) || !bh__place_is_after(as_of, d->changed))
 			continue;
 		if (as_of.era == d->changed.era) {
-			set_(r, d, false, as_of, now_us);
+			set_draining_(r, d, false, as_of, now_us);
 			continue;
 		}
 		if (!d->ends_at_us)
@@ -114,13 +117,13 @@
 	}
 }
 
-/* Ends what was not written again after the store came back from a copy. */
+/* Ends drains that were not written again in time after a store rollback. */
 void bh__registry_process_halls(BH__Registry *r, uint64_t now_us)
 {
 	for (guint i = 0; i < r->halls->len; i++) {
 		BH__HallDrain *d = &g_array_index(r->halls, BH__HallDrain, i);
 		if (d->ends_at_us && now_us >= d->ends_at_us)
-			set_(r, d, false, d->ends_place, now_us);
+			set_draining_(r, d, false, d->ends_place, now_us);
 	}
 }
 
@@ -141,8 +144,8 @@
 	return &g_array_index(r->halls, BH__HallDrain, index);
 }
 
-/* Returns since when all endpoints of a service that stay stand in halls that drain, as far as this node
- * knows; 0: not all do, or there is none. */
+/* Returns since when all active endpoints of a service have been in draining halls, as known to this node; 0
+ * if some are not or the service has no active endpoint. */
 uint64_t bh__registry_get_drained_since_us(const BH__Registry *r, const char *service, uint64_t now_us)
 {
 	uint64_t since_us = 0;
@@ -158,22 +161,23 @@
 	return since_us;
 }
 
-/* Returns a number that grows with each change of what is known of halls. */
+/* Returns a number that grows with each change of the known hall states. */
 uint64_t bh__registry_get_halls_version(const BH__Registry *r)
 {
 	return r->halls_version;
 }
 
-/* Returns true if this node knows a later change of a hall than the list of another node tells. */
+/* Returns true if this node knows a hall, or a later change of one, that is missing in another node's list.
+ */
 bool bh__registry_knows_more_of_halls(const BH__Registry *r, const BH__HallDrain *hall, unsigned count)
 {
 	for (guint i = 0; i < r->halls->len; i++) {
 		const BH__HallDrain *own = &g_array_index(r->halls, BH__HallDrain, i);
-		const BH__HallDrain *told = NULL;
-		for (unsigned k = 0; k < count && !told; k++)
+		const BH__HallDrain *theirs = NULL;
+		for (unsigned k = 0; k < count && !theirs; k++)
 			if (!strcmp(hall[k].name, own->name))
-				told = &hall[k];
-		if (!told || bh__place_is_after(own->changed, told->changed))
+				theirs = &hall[k];
+		if (!theirs || bh__place_is_after(own->changed, theirs->changed))
 			return true;
 	}
 	return false;
--- a/src/libbayhoist/routes.c
+++ b/src/libbayhoist/routes.c
@@ -1,7 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Choice among pools: predicted wait, plus the cost of another data hall, less the prefill that a cached
- * prefix saves. Digests are late, so work sent since the last one counts too; a digest that is too old
- * counts as no news. */
+/* Selection of a pool by cost: the predicted wait, plus a penalty for a pool in another data hall, minus the
+ * prefill time that a cached prefix saves. Digests arrive with a delay, so the cost includes the work sent
+ * since the last digest; a digest older than DIGEST_FRESH_US_ is ignored. */
 #include "routes.h"
 
 #include <string.h>
@@ -15,7 +15,7 @@
 struct BH__Routes {
 	GPtrArray *table;
 	GHashTable *by_pool;
-	GHashTable *prefix_pool; /* prefix hash -> pool id: where a prefix was sent last */
+	GHashTable *prefix_pool; /* prefix hash -> RecentPrefix_: the pool to which the prefix was last sent */
 };
 
 typedef struct {
@@ -23,7 +23,7 @@
 	uint64_t pool_id;
 } RecentPrefix_;
 
-static BH__Route *add_(BH__Routes *t, const BH__Endpoint *e);
+static BH__Route *add_pool_(BH__Routes *t, const BH__Endpoint *e);
 static uint32_t cached_tokens_(const BH__Routes *t, const BH__Ask *ask, uint64_t pool_id);
 static uint64_t cost_us_(const BH__Routes *t, const BH__Route *r, const BH__Ask *ask,
 						 const BH__Policy *policy, const char *own_hall, uint64_t now_us);
@@ -45,7 +45,8 @@
 	g_free(t);
 }
 
-/* Sets the table to the pools of a catalog; what is known of a pool that stays is kept. */
+/* Loads the pools of a catalog. Pools that are already in the table keep their state; pools without an
+ * endpoint in the catalog stay with an endpoint count of 0. */
 void bh__routes_load(BH__Routes *t, const BH__Catalog *c)
 {
 	const GPtrArray *all = bh__catalog_get_all(c, BH__KIND_ENDPOINT);
@@ -54,12 +55,13 @@
 		bh__routes_get(t, i)->endpoints = 0;
 	for (guint i = 0; i < all->len; i++) {
 		const BH__Resource *r = g_ptr_array_index(all, i);
-		BH__Route *route = add_(t, &r->as.endpoint);
+		BH__Route *route = add_pool_(t, &r->as.endpoint);
 		route->endpoints += !bh__catalog_is_leaving(c, &r->as.endpoint);
 	}
 }
 
-static BH__Route *add_(BH__Routes *t, const BH__Endpoint *e)
+/* Returns the route of an endpoint's pool, adding it if needed. */
+static BH__Route *add_pool_(BH__Routes *t, const BH__Endpoint *e)
 {
 	uint64_t pool_id = e->pool_id;
 	BH__Route *r = bh__routes_find(t, pool_id);
@@ -91,7 +93,8 @@
 	return g_ptr_array_index(t->table, index);
 }
 
-/* Returns the node that schedules a pool now; this node if no other can. */
+/* Returns the node that schedules a pool, or this node if no other is available. The result is cached until
+ * the member list changes. */
 uint64_t bh__route_get_scheduler(BH__Route *r, const BH__Members *m)
 {
 	if (r->members_version != bh__members_get_version(m)) {
@@ -103,7 +106,8 @@
 	return r->scheduler;
 }
 
-/* Takes a digest if it is the scheduler's own and newer than what is known. */
+/* Stores a digest if it comes from the pool's scheduler, or from the sender of the stored one with a higher
+ * sequence number. */
 void bh__routes_take_digest(BH__Routes *t, const BH__PoolDigest *d, uint64_t now_us)
 {
 	BH__Route *r = bh__routes_find(t, d->pool_id);
@@ -117,6 +121,7 @@
 	r->sent_tokens = 0;
 }
 
+/* Returns the length in tokens of the longest prefix of a prompt that was last sent to a pool; 0: none. */
 static uint32_t cached_tokens_(const BH__Routes *t, const BH__Ask *ask, uint64_t pool_id)
 {
 	for (unsigned i = ask->prefix.count; i-- > 0;) {
@@ -127,6 +132,7 @@
 	return 0;
 }
 
+/* Returns the cost in us of sending a request to a pool. */
 static uint64_t cost_us_(const BH__Routes *t, const BH__Route *r, const BH__Ask *ask,
 						 const BH__Policy *policy, const char *own_hall, uint64_t now_us)
 {
@@ -147,7 +153,7 @@
 	return cost_us;
 }
 
-/* Returns the pool of a model with the least cost, leaving out those already tried; NULL if there is none. */
+/* Returns the pool of a model with the lowest cost, excluding those already tried; NULL if there is none. */
 BH__Route *bh__routes_choose(BH__Routes *t, uint64_t model_id, const BH__Ask *ask, const BH__Policy *policy,
 							 const char *own_hall, const uint64_t *tried, unsigned tried_count,
 							 uint64_t now_us)
@@ -172,7 +178,7 @@
 	return best;
 }
 
-/* Notes work sent to a pool, and that its prompt's prefixes will be cached there. */
+/* Records the prompt tokens sent to a pool, and that the pool will have the prompt's prefixes cached. */
 void bh__routes_note_sent(BH__Routes *t, BH__Route *r, const BH__Ask *ask)
 {
 	r->sent_tokens += ask->prompt_tokens;
--- a/src/libbayhoist/routing.c
+++ b/src/libbayhoist/routing.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Routing tables. The rules of a host stand in one list, those with the longest prefix first, so that the
- * first which fits is the one that counts. */
+/* Routing tables. The rules of each host are kept in one list sorted by descending prefix length, so the
+ * first match is the most specific one. */
 #include "bayhoist/routing.h"
 
 #include <string.h>
@@ -18,18 +18,19 @@
 	uint64_t version;
 	BH__RequestLimits limits;
 	GPtrArray *rules;
-	GHashTable *by_host; /* GPtrArray of BH__RouteRule by host in lower case */
+	GHashTable *by_host; /* host in lower case -> GPtrArray of BH__RouteRule */
 	GPtrArray *services;
-	GHashTable *by_name; /* BH__ServiceSpec by name */
+	GHashTable *by_name; /* name -> BH__ServiceSpec */
 	GPtrArray *owners;
-	GHashTable *by_key; /* BH__KeyOwner by API key */
+	GHashTable *by_key; /* API key -> BH__KeyOwner */
 };
 
 static gint compare_prefixes_(gconstpointer a, gconstpointer b);
 static void index_rule_(BH__Routing *r, BH__RouteRule *rule);
 static bool check_rule_(const BH__Routing *r, const BH__RouteRule *rule, GError **error);
 
-/* Returns an empty routing to be filled and sealed. */
+/* Returns an empty routing table with default limits and one reference. The caller fills it and then calls
+ * bh__routing_seal(). */
 BH__Routing *bh__routing_new(uint64_t version)
 {
 	BH__Routing *r = g_new0(BH__Routing, 1);
@@ -49,7 +50,7 @@
 	return r;
 }
 
-/* Returns a rule with the usual defaults. */
+/* Returns a rule with default values: at most one execution and one attempt. */
 BH__RouteRule *bh__route_rule_new(void)
 {
 	BH__RouteRule *rule = g_new0(BH__RouteRule, 1);
@@ -95,7 +96,7 @@
 	g_hash_table_insert(r->by_name, service->name, service);
 }
 
-/* Adds a client account that owns `keys`, a list of strings that ends with NULL. */
+/* Adds a client account with its API keys, a NULL-terminated array of strings. Copies both. */
 void bh__routing_add_owner(BH__Routing *r, const BH__KeyOwner *owner, char **keys)
 {
 	BH__KeyOwner *copy = g_memdup2(owner, sizeof *owner);
@@ -110,7 +111,8 @@
 	r->limits = *limits;
 }
 
-/* Checks the whole and makes it ready for use. On failure the error names the rule and the cause. */
+/* Validates all rules and builds the lookup lists. On failure, returns false and sets an error that names the
+ * rule and the cause. */
 bool bh__routing_seal(BH__Routing *r, GError **error)
 {
 	GHashTableIter it;
@@ -165,15 +167,17 @@
 	g_ptr_array_add(list, rule);
 }
 
-/* Longer prefixes first. */
+/* Orders rules by descending prefix length, then alphabetically. */
 static gint compare_prefixes_(gconstpointer a, gconstpointer b)
 {
-	const BH__RouteRule *const *x = a;
-	const BH__RouteRule *const *y = b;
-	size_t m = strlen((*x)->path_prefix);
-	size_t n = strlen((*y)->path_prefix);
-
-	return m == n ? strcmp((*x)->path_prefix, (*y)->path_prefix) : m > n ? -1 : 1;
+	const BH__RouteRule *const *rule_a = a;
+	const BH__RouteRule *const *rule_b = b;
+	size_t length_a = strlen((*rule_a)->path_prefix);
+	size_t length_b = strlen((*rule_b)->path_prefix);
+
+	return length_a == length_b  ? strcmp((*rule_a)->path_prefix, (*rule_b)->path_prefix)
+		   : length_a > length_b ? -1
+								 : 1;
 }
 
 BH__Routing *bh__routing_ref(BH__Routing *r)
@@ -205,14 +209,15 @@
 	return &r->limits;
 }
 
-/* Returns true if requests need an API key. */
+/* Returns true if any client account is configured, in which case requests need an API key unless their route
+ * allows none. */
 bool bh__routing_has_owners(const BH__Routing *r)
 {
 	return r->owners->len > 0;
 }
 
-/* Returns the rule with the longest prefix of `path` among those of `host`, or NULL. The host may carry a
- * port and any case; a query in the path is not looked at. */
+/* Returns the rule with the longest prefix of `path` among the rules of `host`, or NULL. The host is matched
+ * without regard to case and port, and the query string does not affect the match. */
 const BH__RouteRule *bh__routing_match(const BH__Routing *r, const char *host, const char *path)
 {
 	char *name = g_ascii_strdown(host, (gssize)strcspn(host, ":"));
@@ -227,7 +232,7 @@
 	return NULL;
 }
 
-/* Returns the client account that owns a key, or NULL. */
+/* Returns the client account that owns an API key, or NULL. */
 const BH__KeyOwner *bh__routing_find_owner(const BH__Routing *r, const char *key)
 {
 	return g_hash_table_lookup(r->by_key, key);
@@ -248,19 +253,19 @@
 	return g_ptr_array_index(r->services, index);
 }
 
-/* Returns the service for one request; the same request always gets the same. */
+/* Returns the service for a request, chosen by weight. The same hash always gives the same service. */
 const char *bh__route_rule_pick_service(const BH__RouteRule *rule, uint64_t request_hash)
 {
-	uint64_t sum = 0;
-	uint64_t at;
+	uint64_t weight_sum = 0;
+	uint64_t offset;
 
 	for (unsigned i = 0; i < rule->target_count; i++)
-		sum += rule->target[i].weight;
-	at = sum ? request_hash % sum : 0;
+		weight_sum += rule->target[i].weight;
+	offset = weight_sum ? request_hash % weight_sum : 0;
 	for (unsigned i = 0; i < rule->target_count; i++) {
-		if (at < rule->target[i].weight)
+		if (offset < rule->target[i].weight)
 			return rule->target[i].service;
-		at -= rule->target[i].weight;
+		offset -= rule->target[i].weight;
 	}
 	return rule->target[0].service;
 }
