--- a/include/bayhoist/message.h
+++ b/include/bayhoist/message.h
@@ -292,7 +292,7 @@
 			bool platform_unavailable;
 			bool is_complete; /* `fact` lists all existing endpoints, not only the changed ones */
 			uint32_t count;
-			BH__EndpointFact *fact;
+			BH__EndpointRecord *fact;
 			uint32_t gone_count;
 			BH__EndpointDeparture *gone;
 			uint32_t hall_count; /* halls that the sender knows to be draining or to have been drained */
--- a/include/bayhoist/registry.h
+++ b/include/bayhoist/registry.h
@@ -29,13 +29,14 @@
 } BH__EndpointEntry;
 
 typedef enum {
-	BH__USE_SERVED,   /* a complete response */
-	BH__USE_REFUSED,  /* the endpoint reported that it did not run the request */
-	BH__USE_FAILED,   /* no response, an invalid one, or an endpoint error */
-	BH__USE_ABANDONED /* this node or the caller ended the request; says nothing about the endpoint */
-} BH__Use;
+	BH__ENDPOINT_OUTCOME_SERVED,   /* a complete response */
+	BH__ENDPOINT_OUTCOME_REFUSED,  /* the endpoint reported that it did not run the request */
+	BH__ENDPOINT_OUTCOME_FAILED,   /* no response, an invalid one, or an endpoint error */
+	BH__ENDPOINT_OUTCOME_ABANDONED /* this node or the caller ended the request; says nothing about the
+									  endpoint */
+} BH__EndpointOutcome;
 
-extern const char *const BH__UseString[];
+extern const char *const BH__EndpointOutcomeString[];
 
 /* The merged history of an endpoint. Each field only grows, so updates may arrive in any order and more than
  * once. */
@@ -45,7 +46,7 @@
 	BH__StoreVersion listed;  /* latest known store version at which that incarnation wrote its entry */
 	bool drained;             /* some incarnation has reported that it is leaving */
 	uint64_t drained_born_ms; /* start time of the latest such incarnation */
-} BH__EndpointPast;
+} BH__EndpointHistory;
 
 /* A data hall that operators drain or have drained. Endpoints in a draining hall get no new work until an
  * operator takes the drain back. */
@@ -57,19 +58,19 @@
 	uint64_t ends_at_us; /* when the drain ends unless it is written again; 0: it has no end; not sent to
 							other nodes */
 	BH__StoreVersion
-		ends_place; /* store version as of which the drain was missing; not sent to other nodes */
+		ends_version; /* store version as of which the drain was missing; not sent to other nodes */
 } BH__HallDrain;
 
 /* Signals that the current incarnation of an endpoint sent in its responses, and which nodes this node has
  * notified. The history of the endpoint records that it is leaving. */
 typedef struct {
-	bool said_leaving;          /* the endpoint told this node that it is leaving */
-	uint64_t leaving_told_node; /* home node that this node has notified of the leaving; 0: none */
-	BH__AdvertisedLimit named;  /* limit that the endpoint advertises, as known to this node */
-	uint64_t named_told_us;     /* when this node last notified its home node of the limit; 0: never */
-	bool spread_in_force; /* whether the limit last broadcast to all nodes, as known to this node, was in
+	bool announced_leaving;         /* the endpoint told this node that it is leaving */
+	uint64_t leaving_notified_node; /* home node that this node has notified of the leaving; 0: none */
+	BH__AdvertisedLimit advertised; /* limit that the endpoint advertises, as known to this node */
+	uint64_t limit_notified_us;     /* when this node last notified its home node of the limit; 0: never */
+	bool broadcast_in_force; /* whether the limit last broadcast to all nodes, as known to this node, was in
 							 force */
-	double spread_per_s;
+	double broadcast_per_s;
 	uint64_t backoff_until_us;    /* this node sends it no requests until then; 0: no backoff */
 	uint64_t overloaded_until_us; /* it rejected requests of some node and asked for backoff until then; 0:
 									 never */
@@ -78,19 +79,19 @@
 typedef struct {
 	uint64_t endpoint_id; /* hash of the endpoint's id */
 	BH__EndpointEntry entry;
-	BH__EndpointPast past;
-	BH__StoreVersion learnt; /* store version with which the last visible change was merged */
+	BH__EndpointHistory history;
+	BH__StoreVersion merged_version; /* store version with which the last visible change was merged */
 	BH__EndpointSignals signals;
-	uint64_t gone_at_us;    /* when the endpoint counts as gone; 0: it is listed */
-	bool hall_drains;       /* whether its hall is draining */
-	BH__EndpointRate rate;  /* enforced here if this node is the home node of the endpoint and no node
-							   schedules its service */
-	uint64_t full_until_us; /* its home node grants no request until then; 0: grants are possible */
-	uint64_t life;          /* number of this incarnation, unique within the registry */
-	uint32_t in_flight;     /* requests that this node currently has at the endpoint */
-	uint32_t reported;      /* running and waiting requests of all nodes, as last reported by the endpoint */
+	uint64_t gone_at_us;        /* when the endpoint counts as gone; 0: it is listed */
+	bool is_hall_draining;      /* whether its hall is draining */
+	BH__EndpointRate rate;      /* enforced here if this node is the home node of the endpoint and no node
+								   schedules its service */
+	uint64_t no_grant_until_us; /* its home node grants no request until then; 0: grants are possible */
+	uint64_t incarnation;       /* number of this incarnation, unique within the registry */
+	uint32_t in_flight;         /* requests that this node currently has at the endpoint */
+	uint32_t reported; /* running and waiting requests of all nodes, as last reported by the endpoint */
 	uint64_t reported_us;
-	uint64_t set_aside_until_us;
+	uint64_t ejected_until_us;
 	uint32_t failures;    /* consecutive failures */
 	double failure_share; /* exponentially weighted share of failures in recent requests, 0 to 1 */
 } BH__RegisteredEndpoint;
@@ -99,18 +100,18 @@
  */
 typedef struct {
 	BH__EndpointEntry entry;
-	BH__EndpointPast past;
+	BH__EndpointHistory history;
 	uint64_t gone_in_us; /* time until the endpoint counts as gone, if its entry is gone; else 0 */
 	uint64_t cold_in_us; /* time until the endpoint is no longer cold; 0: it is not cold. The entry's
 							cold_until_us is not sent. */
-} BH__EndpointFact;
+} BH__EndpointRecord;
 
 /* State of an endpoint that is gone. */
 typedef struct {
 	uint64_t endpoint_id;
-	BH__EndpointPast past;
+	BH__EndpointHistory history;
 	BH__StoreVersion
-		learnt; /* store version with which the last change was merged; not sent to other nodes */
+		merged_version; /* store version with which the last change was merged; not sent to other nodes */
 	BH__EndpointSignals signals; /* not sent to other nodes */
 } BH__EndpointDeparture;
 
@@ -119,46 +120,46 @@
 BH__Registry *bh__registry_new(uint32_t seed);
 void bh__registry_delete(BH__Registry *r);
 uint64_t bh__registry_get_version(const BH__Registry *r);
-BH__StoreVersion bh__registry_get_place(const BH__Registry *r);
-BH__StoreVersion bh__registry_get_changed_place(const BH__Registry *r);
-void bh__registry_set_place(BH__Registry *r, BH__StoreVersion store_version);
+BH__StoreVersion bh__registry_get_store_version(const BH__Registry *r);
+BH__StoreVersion bh__registry_get_changed_store_version(const BH__Registry *r);
+void bh__registry_set_store_version(BH__Registry *r, BH__StoreVersion store_version);
 void bh__registry_begin_era(BH__Registry *r, BH__StoreVersion start);
 BH__StoreVersion bh__registry_get_era_start(const BH__Registry *r);
 bool bh__registry_put(BH__Registry *r, const BH__EndpointEntry *entry, BH__StoreVersion listed,
 					  BH__StoreVersion as_of);
 void bh__registry_remove(BH__Registry *r, uint64_t endpoint_id, BH__StoreVersion gone, uint64_t gone_at_us,
 						 BH__StoreVersion as_of);
-bool bh__registry_put_fact(BH__Registry *r, const BH__EndpointFact *f, BH__StoreVersion as_of,
-						   uint64_t now_us);
+bool bh__registry_put_record(BH__Registry *r, const BH__EndpointRecord *f, BH__StoreVersion as_of,
+							 uint64_t now_us);
 void bh__registry_put_departure(BH__Registry *r, const BH__EndpointDeparture *d, BH__StoreVersion as_of);
 bool bh__registry_note_leaving(BH__Registry *r, uint64_t endpoint_id, uint64_t born_ms);
-void bh__registry_keep_only(BH__Registry *r, GHashTable *ids, BH__StoreVersion as_of, uint64_t gone_at_us);
+void bh__registry_retain_only(BH__Registry *r, GHashTable *ids, BH__StoreVersion as_of, uint64_t gone_at_us);
 bool bh__registry_list_changes(const BH__Registry *r, BH__StoreVersion since, uint64_t now_us, GArray *facts,
 							   GArray *departures);
-void bh__registry_add_fact(const BH__Registry *r, unsigned index, uint64_t now_us, GArray *facts);
+void bh__registry_add_record(const BH__Registry *r, unsigned index, uint64_t now_us, GArray *facts);
 void bh__registry_process_tick(BH__Registry *r, uint64_t now_us);
 BH__RegisteredEndpoint *bh__registry_find(const BH__Registry *r, uint64_t endpoint_id);
 BH__RegisteredEndpoint *bh__registry_find_address(const BH__Registry *r, const char *address);
 unsigned bh__registry_get_count(const BH__Registry *r);
 BH__RegisteredEndpoint *bh__registry_get(const BH__Registry *r, unsigned index);
 void bh__registry_set_cold_rate(BH__Registry *r, const char *service, double per_s, uint64_t now_us);
-bool bh__registered_endpoint_hear_limit(BH__RegisteredEndpoint *e, const BH__AdvertisedLimit *told,
-										uint64_t now_us);
+bool bh__registered_endpoint_receive_limit(BH__RegisteredEndpoint *e, const BH__AdvertisedLimit *told,
+										   uint64_t now_us);
 bool bh__registry_has_unlimited(const BH__Registry *r, const char *service, uint64_t now_us);
-uint64_t bh__registry_get_taking_us(const BH__Registry *r, const char *service, uint64_t now_us);
-bool bh__registered_endpoint_stays(const BH__RegisteredEndpoint *e, uint64_t now_us);
+uint64_t bh__registry_get_available_us(const BH__Registry *r, const char *service, uint64_t now_us);
+bool bh__registered_endpoint_is_active(const BH__RegisteredEndpoint *e, uint64_t now_us);
 bool bh__registered_endpoint_is_usable(const BH__RegisteredEndpoint *e, uint64_t now_us);
-bool bh__registered_endpoint_takes(const BH__RegisteredEndpoint *e, uint64_t now_us);
-bool bh__registered_endpoint_hear_backoff(BH__RegisteredEndpoint *e, uint64_t until_us);
-bool bh__registered_endpoint_hear_overload(BH__RegisteredEndpoint *e, uint64_t until_us, uint64_t now_us);
+bool bh__registered_endpoint_accepts_requests(const BH__RegisteredEndpoint *e, uint64_t now_us);
+bool bh__registered_endpoint_receive_backoff(BH__RegisteredEndpoint *e, uint64_t until_us);
+bool bh__registered_endpoint_receive_overload(BH__RegisteredEndpoint *e, uint64_t until_us, uint64_t now_us);
 unsigned bh__registry_list_backoffs(const BH__Registry *r, const char *service, uint64_t now_us,
 									uint64_t out[], unsigned max);
 BH__RegisteredEndpoint *bh__registry_pick(BH__Registry *r, const char *service, const char *hall,
 										  const uint64_t *tried, unsigned tried_count, bool again,
 										  uint64_t now_us);
 uint64_t bh__registry_note_start(BH__Registry *r, uint64_t endpoint_id);
-void bh__registry_note_end(BH__Registry *r, uint64_t endpoint_id, uint64_t life, BH__Use use,
-						   uint64_t now_us);
+void bh__registry_note_end(BH__Registry *r, uint64_t endpoint_id, uint64_t incarnation,
+						   BH__EndpointOutcome use, uint64_t now_us);
 void bh__registry_note_load(BH__Registry *r, uint64_t endpoint_id, uint32_t running, uint32_t waiting,
 							uint64_t now_us);
 
@@ -166,12 +167,12 @@
 bool bh__registry_put_hall(BH__Registry *r, const char *name, bool draining, BH__StoreVersion changed,
 						   uint64_t now_us);
 bool bh__registry_read_hall(BH__Registry *r, const char *name, BH__StoreVersion written, uint64_t now_us);
-void bh__registry_keep_halls(BH__Registry *r, GHashTable *names, BH__StoreVersion as_of, uint64_t now_us);
+void bh__registry_retain_halls(BH__Registry *r, GHashTable *names, BH__StoreVersion as_of, uint64_t now_us);
 bool bh__registry_is_hall_draining(const BH__Registry *r, const char *name);
 unsigned bh__registry_get_hall_count(const BH__Registry *r);
 const BH__HallDrain *bh__registry_get_hall(const BH__Registry *r, unsigned index);
 uint64_t bh__registry_get_drained_since_us(const BH__Registry *r, const char *service, uint64_t now_us);
 uint64_t bh__registry_get_halls_version(const BH__Registry *r);
-bool bh__registry_knows_more_of_halls(const BH__Registry *r, const BH__HallDrain *hall, unsigned count);
+bool bh__registry_has_newer_halls(const BH__Registry *r, const BH__HallDrain *hall, unsigned count);
 
 #endif
--- a/include/bayhoist/retry_state.h
+++ b/include/bayhoist/retry_state.h
@@ -53,7 +53,7 @@
 bool bh__service_retry_budget_take(BH__ServiceRetryBudget *b);
 
 typedef struct {
-	BH__Repeat repeat;
+	BH__RetryMode retry_mode;
 	uint32_t max_attempts; /* most dispatches that may reach an endpoint */
 	uint64_t deadline_us;  /* the caller's or the route's deadline, whichever is earlier */
 	uint32_t dispatches;   /* dispatches that reached an endpoint */
--- a/include/bayhoist/routing.h
+++ b/include/bayhoist/routing.h
@@ -9,15 +9,15 @@
 #include <glib.h>
 #include "bayhoist/engine_model.h"
 
-#define BH__SPLIT_MAX 8 /* maximum number of services per route */
+#define BH__ROUTE_TARGETS_MAX 8 /* maximum number of services per route */
 
 typedef enum {
-	BH__REPEAT_FREELY, /* may be executed any number of times */
-	BH__REPEAT_NEVER,  /* is executed at most once */
-	BH__REPEAT_RESUME  /* a stream that may resume at another endpoint after the last delivered event */
-} BH__Repeat;
+	BH__RETRY_MODE_FREELY, /* may be executed any number of times */
+	BH__RETRY_MODE_NEVER,  /* is executed at most once */
+	BH__RETRY_MODE_RESUME  /* a stream that may resume at another endpoint after the last delivered event */
+} BH__RetryMode;
 
-extern const char *const BH__RepeatString[];
+extern const char *const BH__RetryModeString[];
 
 typedef struct {
 	char service[BH__NAME_LEN];
@@ -28,7 +28,7 @@
 	char name[BH__NAME_LEN];
 	char *host;
 	char *path_prefix; /* starts and ends with a slash */
-	BH__Repeat repeat;
+	BH__RetryMode retry_mode;
 	bool streams;          /* the response is a stream of events */
 	bool needs_no_key;     /* requests without an API key are accepted */
 	uint32_t timeout_ms;   /* maximum time that the gateway holds a request */
@@ -37,7 +37,7 @@
 	uint32_t priority;     /* 0 is the most urgent */
 	uint32_t max_attempts; /* maximum number of endpoints that a request is sent to */
 	unsigned target_count;
-	BH__RouteTarget target[BH__SPLIT_MAX];
+	BH__RouteTarget target[BH__ROUTE_TARGETS_MAX];
 } BH__RouteRule;
 
 typedef struct {
--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -181,7 +181,7 @@
 		" left_ms=%" G_GUINT64_FORMAT " waited_before_ms=%" G_GUINT64_FORMAT
 		" configuration=%" G_GUINT64_FORMAT " age_ms=%" G_GUINT64_FORMAT,
 		r->meta.request_id, fingerprint, c->rule->name, c->service->name, c->owner ? c->owner->name : "",
-		BH__RepeatString[c->rule->repeat], r->meta.prompt_tokens, time_us / BH__MS_US,
+		BH__RetryModeString[c->rule->retry_mode], r->meta.prompt_tokens, time_us / BH__MS_US,
 		c->waited_before_us / BH__MS_US, bh__routing_get_version(c->routing),
 		(now_us - g->routing_looked_us) / BH__MS_US);
 	g_strlcpy(c->place.service, c->service->name, sizeof c->place.service);
@@ -222,7 +222,7 @@
 {
 	uint64_t now_us = clock_now_us();
 	uint64_t since_us = bh__registry_get_drained_since_us(c->gate->registry, c->service->name, now_us);
-	uint64_t taking_us = bh__registry_get_taking_us(c->gate->registry, c->service->name, now_us);
+	uint64_t taking_us = bh__registry_get_available_us(c->gate->registry, c->service->name, now_us);
 
 	if (taking_us > now_us)
 		return (taking_us - now_us) / BH__MS_US + 1;
@@ -298,7 +298,7 @@
 	if (give_up_held_(c) || give_up_stopping_(c))
 		return;
 	if (c->service->is_engine) {
-		if (bh__registry_get_taking_us(g->registry, c->service->name, now_us))
+		if (bh__registry_get_available_us(g->registry, c->service->name, now_us))
 			give_up_no_endpoint_(c);
 		else
 			ask_(c);
@@ -354,7 +354,7 @@
 		return;
 	}
 	if (e)
-		e->full_until_us = now_us + MAX(wait_us, BH__MS_US);
+		e->no_grant_until_us = now_us + MAX(wait_us, BH__MS_US);
 	place_(c);
 }
 
@@ -583,7 +583,7 @@
 {
 	const BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, endpoint_id);
 
-	return e && bh__registered_endpoint_takes(e, clock_now_us());
+	return e && bh__registered_endpoint_accepts_requests(e, clock_now_us());
 }
 
 /* Takes up a grant, unless one of its engines has begun to leave. */
@@ -736,7 +736,8 @@
 
 	if (c->out) {
 		outbound_cancel(c->out);
-		bh__registry_note_end(g->registry, c->endpoint_id, c->endpoint_life, BH__USE_ABANDONED, now_us);
+		bh__registry_note_end(g->registry, c->endpoint_id, c->endpoint_life, BH__ENDPOINT_OUTCOME_ABANDONED,
+							  now_us);
 	}
 	cluster_drop_ask(g->cluster, c);
 	cluster_release(g->cluster, c, BH__RELEASE_DONE, BH__NO_ENDPOINT);
@@ -764,7 +765,7 @@
 /* Returns when an answer that has not moved on is looked for elsewhere; UINT64_MAX: never. */
 static uint64_t overdue_us_(const Call *c)
 {
-	if (c->state != CALL_SENDING || c->paused || c->rule->repeat == BH__REPEAT_NEVER || c->judged)
+	if (c->state != CALL_SENDING || c->paused || c->rule->retry_mode == BH__RETRY_MODE_NEVER || c->judged)
 		return UINT64_MAX;
 	return c->received_us +
 		   bh__response_max_wait_us(c->rule, c->service->is_engine, c->events.events && c->passing);
--- a/src/bayhoist-gate/crashes.c
+++ b/src/bayhoist-gate/crashes.c
@@ -131,7 +131,7 @@
 	const BH__RegisteredEndpoint *e = bh__registry_find(g->registry, endpoint_id);
 
 	*born_ms = e ? e->entry.born_ms : 0;
-	return e && bh__registered_endpoint_stays(e, clock_now_us());
+	return e && bh__registered_endpoint_is_active(e, clock_now_us());
 }
 
 /* Looks whether an endpoint that broke off a request still listens. One that has crashed does not until it is
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -230,7 +230,7 @@
 /* The answer that gave an endpoint's signals. */
 typedef struct {
 	uint64_t endpoint_id;
-	uint64_t life; /* of the endpoint when the request was sent, see bh__registry_note_start() */
+	uint64_t incarnation; /* of the endpoint when the request was sent, see bh__registry_note_start() */
 	uint64_t sent_us;
 	uint64_t received_us;
 	int status;
--- a/src/bayhoist-gate/main.c
+++ b/src/bayhoist-gate/main.c
@@ -239,7 +239,7 @@
 /* Where the platform's store has gone back to a copy, what the nodes had written there is written again. */
 static void follow_era_(Gate *g)
 {
-	BH__StoreVersion place = bh__registry_get_place(g->registry);
+	BH__StoreVersion place = bh__registry_get_store_version(g->registry);
 
 	if (!bh__store_version_is_zero(g->place_seen) && place.era > g->place_seen.era) {
 		log_event("store", "what=era was=%" G_GUINT64_FORMAT " now=%" G_GUINT64_FORMAT, g->place_seen.era,
--- a/src/bayhoist-gate/memory.c
+++ b/src/bayhoist-gate/memory.c
@@ -24,7 +24,7 @@
 	Gate *gate;
 	MemoryHold *hold; /* NULL: not wanted any more */
 	uint64_t endpoint_id;
-	uint64_t life; /* of the endpoint */
+	uint64_t incarnation; /* of the endpoint */
 	char address[BH__ADDRESS_LEN];
 	char id[ID_LEN];
 	uint64_t tokens;
@@ -85,7 +85,7 @@
 		p->gate = g;
 		p->hold = h;
 		p->endpoint_id = e->endpoint_id;
-		p->life = e->life;
+		p->incarnation = e->incarnation;
 		p->tokens = grant->member[i].kv_bytes;
 		g_strlcpy(p->address, e->entry.address, sizeof p->address);
 		write_id_(p->id, grant, i);
@@ -108,7 +108,7 @@
 
 static EndpointRef ref_(const Part *p)
 {
-	return (EndpointRef){.address = p->address, .endpoint_id = p->endpoint_id, .life = p->life};
+	return (EndpointRef){.address = p->address, .endpoint_id = p->endpoint_id, .incarnation = p->incarnation};
 }
 
 static void reserve_(Part *p)
@@ -230,7 +230,7 @@
 {
 	const BH__RegisteredEndpoint *e = bh__registry_find(p->gate->registry, p->endpoint_id);
 
-	return !e || e->life == p->life;
+	return !e || e->incarnation == p->incarnation;
 }
 
 /* Frees the memory everywhere. `h` may be NULL. */
@@ -260,7 +260,8 @@
 		char id[ID_LEN];
 		if (!grant->member[i].kv_bytes || !e)
 			continue;
-		to = (EndpointRef){.address = e->entry.address, .endpoint_id = e->endpoint_id, .life = e->life};
+		to = (EndpointRef){
+			.address = e->entry.address, .endpoint_id = e->endpoint_id, .incarnation = e->incarnation};
 		write_id_(id, grant, i);
 		log_event("memory", "what=freed cause=\"its node is gone\" endpoint=%s id=%s", e->entry.id, id);
 		g->port->free_memory(g, &to, id);
--- a/src/bayhoist-gate/planner_port.c
+++ b/src/bayhoist-gate/planner_port.c
@@ -77,14 +77,15 @@
 	EndpointRef to;
 	Inspection *i;
 
-	if (!e || !bh__registered_endpoint_takes(e, clock_now_us()) ||
+	if (!e || !bh__registered_endpoint_accepts_requests(e, clock_now_us()) ||
 		s->scheduler != bh__members_get_self(s->cluster->members)->node_id)
 		return;
 	i = g_new0(Inspection, 1);
 	i->cluster = s->cluster;
 	i->pool_id = bh__planner_get_id(s->planner);
 	i->endpoint_id = endpoint_id;
-	to = (EndpointRef){.address = e->entry.address, .endpoint_id = e->endpoint_id, .life = e->life};
+	to = (EndpointRef){
+		.address = e->entry.address, .endpoint_id = e->endpoint_id, .incarnation = e->incarnation};
 	g->port->report(g, &to, on_pace_, i);
 }
 
--- a/src/bayhoist-gate/port.h
+++ b/src/bayhoist-gate/port.h
@@ -68,7 +68,7 @@
 typedef struct {
 	const char *address;
 	uint64_t endpoint_id;
-	uint64_t life; /* see bh__registry_note_start() */
+	uint64_t incarnation; /* see bh__registry_note_start() */
 } EndpointRef;
 
 typedef struct GatePort {
--- a/src/bayhoist-gate/schedulers.c
+++ b/src/bayhoist-gate/schedulers.c
@@ -96,7 +96,7 @@
 static void set_engine_(Service *s, const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	bh__planner_set_limits(s->planner, e->endpoint_id, e->rate.limit, now_us);
-	bh__planner_set_endpoint(s->planner, e->endpoint_id, e->life,
+	bh__planner_set_endpoint(s->planner, e->endpoint_id, e->incarnation,
 							 !bh__registered_endpoint_is_usable(e, now_us), now_us);
 }
 
--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/sending.c
@@ -74,7 +74,7 @@
 			  c->request->meta.request_id, e->entry.id, c->service->name, c->request->meta.prompt_tokens,
 			  c->x.dispatches, c->events.last_id, (c->x.deadline_us - c->sent_us) / BH__MS_US,
 			  g->grant_id ? g->expected_us / BH__MS_US : 0,
-			  e->signals.named.in_force ? e->signals.named.per_s : -1.0, helpers->str);
+			  e->signals.advertised.in_force ? e->signals.advertised.per_s : -1.0, helpers->str);
 	g_string_free(helpers, TRUE);
 }
 
@@ -148,7 +148,7 @@
 	const AnswerMeta *m = &c->head.meta;
 	bool is_others = c->judged && c->judgement == BH__DISPATCH_BROKEN;
 	AnswerOrigin origin = {.endpoint_id = c->endpoint_id,
-						   .life = c->endpoint_life,
+						   .incarnation = c->endpoint_life,
 						   .sent_us = c->sent_us,
 						   .received_us = c->received_us,
 						   .status = c->head.status,
@@ -303,10 +303,10 @@
 	c->paused = false;
 	g->counters.sending_ends[end]++;
 	bh__registry_note_end(g->registry, c->endpoint_id, c->endpoint_life,
-						  end == BH__DISPATCH_ANSWERED  ? BH__USE_SERVED
-						  : end == BH__DISPATCH_REFUSED ? BH__USE_REFUSED
-						  : end == BH__DISPATCH_STOPPED ? BH__USE_ABANDONED
-														: BH__USE_FAILED,
+						  end == BH__DISPATCH_ANSWERED  ? BH__ENDPOINT_OUTCOME_SERVED
+						  : end == BH__DISPATCH_REFUSED ? BH__ENDPOINT_OUTCOME_REFUSED
+						  : end == BH__DISPATCH_STOPPED ? BH__ENDPOINT_OUTCOME_ABANDONED
+														: BH__ENDPOINT_OUTCOME_FAILED,
 						  now_us);
 	if (end == BH__DISPATCH_REFUSED)
 		at_fault = find_at_fault_(c);
--- a/src/bayhoist-gate/signals.c
+++ b/src/bayhoist-gate/signals.c
@@ -35,7 +35,7 @@
 	for (int k = 0; k < BH__SIGNAL_KIND_COUNT; k++) {
 		const BH__Signal *s = &m->signal[k];
 		BH__RegisteredEndpoint *e = bh__registry_find(g->registry, o->endpoint_id);
-		if (!e || e->life != o->life)
+		if (!e || e->incarnation != o->incarnation)
 			return;
 		g->counters.signals[k] += s->state == BH__SIGNAL_PRESENT;
 		if (s->state != BH__SIGNAL_INVALID) {
@@ -52,7 +52,7 @@
 static void take_limit_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
 {
 	BH__AdvertisedLimit heard = {.in_force = s->state == BH__SIGNAL_PRESENT, .per_s = s->value};
-	double was_per_s = e->signals.named.in_force ? e->signals.named.per_s : -1;
+	double was_per_s = e->signals.advertised.in_force ? e->signals.advertised.per_s : -1;
 
 	if (!heard.in_force && !o->is_served)
 		return;
@@ -62,8 +62,8 @@
 	schedulers_follow_limits(g->cluster, e);
 	g->counters.limit_changes++;
 	log_event("limit", "what=%s endpoint=%s per_s=%.3f was=%.3f request=%s",
-			  e->signals.named.in_force ? "named" : "ended", e->entry.id,
-			  e->signals.named.in_force ? e->signals.named.per_s : -1.0, was_per_s, o->request_id);
+			  e->signals.advertised.in_force ? "named" : "ended", e->entry.id,
+			  e->signals.advertised.in_force ? e->signals.advertised.per_s : -1.0, was_per_s, o->request_id);
 }
 
 /* A leaving ends by a later start alone: an answer that does not say it may have been made before. */
@@ -86,7 +86,7 @@
 
 	if (s->state != BH__SIGNAL_PRESENT || o->status != REFUSED)
 		return;
-	if (!bh__registered_endpoint_hear_backoff(e, until_us))
+	if (!bh__registered_endpoint_receive_backoff(e, until_us))
 		return;
 	log_event("signal",
 			  "kind=backoff what=heard endpoint=%s for_ms=%.0f was_ms=%" G_GUINT64_FORMAT " request=%s",
@@ -138,7 +138,7 @@
 	}
 	schedulers_follow_limits(((Signals *)port)->cluster, e);
 	log_event("limit", "what=told endpoint=%s per_s=%.3f", e->entry.id,
-			  e->signals.named.in_force ? e->signals.named.per_s : -1.0);
+			  e->signals.advertised.in_force ? e->signals.advertised.per_s : -1.0);
 }
 
 void signals_process_tick(Signals *s)
@@ -183,9 +183,9 @@
 {
 	if (e->entry.draining)
 		return "leaving";
-	if (e->hall_drains)
+	if (e->is_hall_draining)
 		return "drained";
-	return bh__registered_endpoint_stays(e, now_us) ? "used" : "gone";
+	return bh__registered_endpoint_is_active(e, now_us) ? "used" : "gone";
 }
 
 static int64_t left_ms_(uint64_t until_us, uint64_t now_us)
--- a/src/bench/policy_sim.c
+++ b/src/bench/policy_sim.c
@@ -555,7 +555,7 @@
 
 	while ((d = g_queue_peek_head(&s->digests)) && d->at_us <= s->now_us) {
 		g_queue_pop_head(&s->digests);
-		bh__routes_take_digest(s->routes[d->node], &d->digest, s->now_us);
+		bh__routes_update_digest(s->routes[d->node], &d->digest, s->now_us);
 		g_free(d);
 	}
 }
--- a/src/libbayhoist/duty.c
+++ b/src/libbayhoist/duty.c
@@ -82,7 +82,7 @@
 	d->pool = bh__pool_new(&n->pool_port, d->pool_id, bh__node_new_id(n), g_rand_int(n->rand));
 	g_hash_table_insert(n->duties, &d->pool_id, d);
 	bh__node_event(n, BH__EVENT_DUTY, 0, 0, route->hall, "take-up", 0);
-	route->held_to_boot = 0; /* so that the new pool is notified of this node's own grants */
+	route->grants_notified_boot = 0; /* so that the new pool is notified of this node's own grants */
 	bh__duties_load_endpoints(n, d);
 	poll_(n, d);
 }
@@ -142,7 +142,7 @@
 			d->next_digest_us = n->now_us + DIGEST_PERIOD_US_;
 			bh__pool_get_digest(d->pool, &digest, n->now_us);
 			digest.node_id = n->options.self.node_id;
-			bh__routes_take_digest(n->routes, &digest, n->now_us);
+			bh__routes_update_digest(n->routes, &digest, n->now_us);
 		}
 	}
 }
--- a/src/libbayhoist/endpoint_use.c
+++ b/src/libbayhoist/endpoint_use.c
@@ -17,7 +17,7 @@
 #define HALL_COST_ 0.4      /* cost of an endpoint in another data hall, in requests in flight */
 #define REPORT_FRESH_US_ (1 * BH__SECOND_US) /* maximum age of a load report that counts */
 
-const char *const BH__UseString[] = {"served", "refused", "failed", "abandoned"};
+const char *const BH__EndpointOutcomeString[] = {"served", "refused", "failed", "abandoned"};
 
 static bool is_tried_(const uint64_t *tried, unsigned count, uint64_t endpoint_id);
 static double cost_(const BH__RegisteredEndpoint *e, const char *hall, uint64_t now_us);
@@ -62,10 +62,10 @@
 		BH__RegisteredEndpoint *e = bh__registry_get(r, (start + i) % r->table->len);
 		bool was_tried = is_tried_(tried, tried_count, e->endpoint_id);
 		double cost;
-		if (strcmp(e->entry.service, service) != 0 || !bh__registered_endpoint_takes(e, now_us) ||
-			now_us < e->full_until_us || (was_tried && !again))
+		if (strcmp(e->entry.service, service) != 0 || !bh__registered_endpoint_accepts_requests(e, now_us) ||
+			now_us < e->no_grant_until_us || (was_tried && !again))
 			continue;
-		cost = cost_(e, hall, now_us) + (now_us < e->set_aside_until_us ? EJECTED_COST_ : 0) +
+		cost = cost_(e, hall, now_us) + (now_us < e->ejected_until_us ? EJECTED_COST_ : 0) +
 			   (was_tried ? TRIED_COST_ : 0);
 		if (!best || cost < best_cost) {
 			best = e;
@@ -84,26 +84,27 @@
 	if (!e)
 		return 0;
 	e->in_flight++;
-	return e->life;
+	return e->incarnation;
 }
 
 /* Records the outcome of a request, unless the endpoint has restarted since the request was sent. */
-void bh__registry_note_end(BH__Registry *r, uint64_t endpoint_id, uint64_t life, BH__Use use, uint64_t now_us)
+void bh__registry_note_end(BH__Registry *r, uint64_t endpoint_id, uint64_t incarnation,
+						   BH__EndpointOutcome use, uint64_t now_us)
 {
 	BH__RegisteredEndpoint *e = bh__registry_find(r, endpoint_id);
 
-	if (!e || e->life != life)
+	if (!e || e->incarnation != incarnation)
 		return;
 	e->in_flight -= e->in_flight > 0;
-	if (use == BH__USE_SERVED) {
+	if (use == BH__ENDPOINT_OUTCOME_SERVED) {
 		e->failures = 0;
 		e->failure_share *= 1 - FAILURE_WEIGHT_;
 	}
-	else if (use == BH__USE_FAILED) {
+	else if (use == BH__ENDPOINT_OUTCOME_FAILED) {
 		e->failures++;
 		e->failure_share += FAILURE_WEIGHT_ * (1 - e->failure_share);
 		if (e->failures >= EJECTION_FAILURES_)
-			e->set_aside_until_us =
+			e->ejected_until_us =
 				now_us +
 				MIN(EJECTION_FIRST_US_ << MIN(e->failures - EJECTION_FAILURES_, 8u), EJECTION_MAX_US_);
 	}
@@ -137,17 +138,18 @@
 
 /* Merges the limit that an endpoint advertises. `update->received_us` is the time when the limit was read or,
  * if the response contained none, when its request was sent. Returns true if the known limit changes. */
-bool bh__registered_endpoint_hear_limit(BH__RegisteredEndpoint *e, const BH__AdvertisedLimit *update,
-										uint64_t now_us)
+bool bh__registered_endpoint_receive_limit(BH__RegisteredEndpoint *e, const BH__AdvertisedLimit *update,
+										   uint64_t now_us)
 {
-	bool changed = update->in_force
-					   ? bh__advertised_limit_receive(&e->signals.named, update->per_s, update->received_us)
-					   : bh__advertised_limit_receive_none(&e->signals.named, update->received_us);
+	bool changed =
+		update->in_force
+			? bh__advertised_limit_receive(&e->signals.advertised, update->per_s, update->received_us)
+			: bh__advertised_limit_receive_none(&e->signals.advertised, update->received_us);
 
 	if (changed)
-		bh__endpoint_rate_set_advertised(&e->rate, &e->signals.named, now_us);
-	if (!e->signals.named.in_force)
-		e->full_until_us = 0;
+		bh__endpoint_rate_set_advertised(&e->rate, &e->signals.advertised, now_us);
+	if (!e->signals.advertised.in_force)
+		e->no_grant_until_us = 0;
 	return changed;
 }
 
@@ -156,8 +158,8 @@
 {
 	for (guint i = 0; i < r->table->len; i++) {
 		const BH__RegisteredEndpoint *e = bh__registry_get(r, i);
-		if (!strcmp(e->entry.service, service) && bh__registered_endpoint_takes(e, now_us) &&
-			now_us >= e->set_aside_until_us && !bh__endpoint_rate_is_limited(&e->rate, now_us))
+		if (!strcmp(e->entry.service, service) && bh__registered_endpoint_accepts_requests(e, now_us) &&
+			now_us >= e->ejected_until_us && !bh__endpoint_rate_is_limited(&e->rate, now_us))
 			return true;
 	}
 	return false;
@@ -166,13 +168,13 @@
 /* Returns the earliest time at which an endpoint of a service becomes available, if all usable ones have
  * asked this node for backoff or get no grants from their home node; 0 if one is available now or none is
  * usable. */
-uint64_t bh__registry_get_taking_us(const BH__Registry *r, const char *service, uint64_t now_us)
+uint64_t bh__registry_get_available_us(const BH__Registry *r, const char *service, uint64_t now_us)
 {
 	uint64_t earliest_us = 0;
 
 	for (guint i = 0; i < r->table->len; i++) {
 		const BH__RegisteredEndpoint *e = bh__registry_get(r, i);
-		uint64_t available_us = MAX(e->full_until_us, e->signals.backoff_until_us);
+		uint64_t available_us = MAX(e->no_grant_until_us, e->signals.backoff_until_us);
 		if (strcmp(e->entry.service, service) != 0 || !bh__registered_endpoint_is_usable(e, now_us))
 			continue;
 		if (available_us <= now_us)
@@ -185,7 +187,7 @@
 /* Records that an endpoint asked this node for backoff until a time. The latest such time counts: neither a
  * shorter backoff nor a success ends it, since responses may be read in a different order than they were
  * made. Returns true if the time is later than the known one. */
-bool bh__registered_endpoint_hear_backoff(BH__RegisteredEndpoint *e, uint64_t until_us)
+bool bh__registered_endpoint_receive_backoff(BH__RegisteredEndpoint *e, uint64_t until_us)
 {
 	if (until_us <= e->signals.backoff_until_us)
 		return false;
@@ -196,7 +198,7 @@
 /* Records that an endpoint rejected a request of any node and asked for backoff until a time. Until then all
  * its slots count as occupied; otherwise each node would find it idle and be rejected once. Returns true if
  * the overload was not known. */
-bool bh__registered_endpoint_hear_overload(BH__RegisteredEndpoint *e, uint64_t until_us, uint64_t now_us)
+bool bh__registered_endpoint_receive_overload(BH__RegisteredEndpoint *e, uint64_t until_us, uint64_t now_us)
 {
 	bool is_new = now_us >= e->signals.overloaded_until_us && now_us < until_us;
 
--- a/src/libbayhoist/include/private/registry_internal.h
+++ b/src/libbayhoist/include/private/registry_internal.h
@@ -22,20 +22,21 @@
 	GRand *rand;
 	uint64_t now_us;                 /* time of the latest tick */
 	uint64_t version;                /* incremented with each change of the set of usable endpoints */
-	uint64_t lives;                  /* number of endpoint incarnations observed */
+	uint64_t incarnation_count;      /* number of endpoint incarnations observed */
 	BH__StoreVersion store_version;  /* store version up to which all changes are merged */
 	BH__EraStart era[BH__ERAS_KEPT]; /* latest first */
 	unsigned era_count;
-	BH__StoreVersion changed; /* store version with which the last visible change was merged */
-	GHashTable *departed;     /* endpoint id -> BH__EndpointDeparture */
+	BH__StoreVersion changed;              /* store version with which the last visible change was merged */
+	GHashTable *departed;                  /* endpoint id -> BH__EndpointDeparture */
+	BH__StoreVersion evicted_gone_version; /* latest store version as of which an endpoint was gone whose
+											  departure has been evicted */
 	BH__StoreVersion
-		floor; /* latest store version as of which an endpoint was gone whose departure has been evicted */
-	BH__StoreVersion forgotten; /* latest store version with which an evicted departure was merged */
+		evicted_merged_version; /* latest store version with which an evicted departure was merged */
 	GArray *halls;              /* BH__HallDrain */
 	uint64_t halls_version;
 };
 
-BH__StoreVersion bh__registry_written(const BH__Registry *r, BH__StoreVersion p);
+BH__StoreVersion bh__registry_get_written_version(const BH__Registry *r, BH__StoreVersion p);
 
 /* registry_halls.c */
 void bh__registry_process_halls(BH__Registry *r, uint64_t now_us);
--- a/src/libbayhoist/include/private/routes.h
+++ b/src/libbayhoist/include/private/routes.h
@@ -14,8 +14,9 @@
 	uint32_t endpoints; /* number of endpoints that are not leaving */
 	uint64_t scheduler; /* scheduling node, valid for members_version */
 	uint64_t members_version;
-	uint64_t held_to_boot; /* boot id of the scheduler that was last notified of this node's live grants */
-	uint32_t held_told;    /* number of grants in that notification */
+	uint64_t
+		grants_notified_boot; /* boot id of the scheduler that was last notified of this node's live grants */
+	uint32_t grants_notified_count; /* number of grants in that notification */
 	BH__PoolDigest digest;
 	uint64_t digest_us;   /* when the digest was received; 0: never */
 	uint64_t sent_tokens; /* prompt tokens sent to the pool since the digest was received */
@@ -30,7 +31,7 @@
 unsigned bh__routes_get_count(const BH__Routes *t);
 BH__Route *bh__routes_get(const BH__Routes *t, unsigned index);
 uint64_t bh__route_get_scheduler(BH__Route *r, const BH__Members *m);
-void bh__routes_take_digest(BH__Routes *t, const BH__PoolDigest *d, uint64_t now_us);
+void bh__routes_update_digest(BH__Routes *t, const BH__PoolDigest *d, uint64_t now_us);
 BH__Route *bh__routes_choose(BH__Routes *t, uint64_t model_id, const BH__Ask *ask, const BH__Policy *policy,
 							 const char *own_hall, const uint64_t *tried, unsigned tried_count,
 							 uint64_t now_us);
--- a/src/libbayhoist/message.c
+++ b/src/libbayhoist/message.c
@@ -53,7 +53,7 @@
 static void quota_(Codec_ *c, BH__Message *m);
 static void endpoint_(Codec_ *c, BH__EndpointEntry *e);
 static void store_version_(Codec_ *c, BH__StoreVersion *p);
-static void past_(Codec_ *c, BH__EndpointPast *p);
+static void past_(Codec_ *c, BH__EndpointHistory *p);
 static void sync_(Codec_ *c, BH__Message *m);
 static void fingerprint_(Codec_ *c, BH__Fingerprint *f);
 static void suspect_(Codec_ *c, BH__Message *m);
@@ -356,7 +356,7 @@
 	u64_(c, &p->revision);
 }
 
-static void past_(Codec_ *c, BH__EndpointPast *p)
+static void past_(Codec_ *c, BH__EndpointHistory *p)
 {
 	store_version_(c, &p->gone);
 	store_version_(c, &p->listed);
@@ -381,14 +381,14 @@
 	m->as.sync.fact = list_(c, &m->as.sync.count, m->as.sync.fact, sizeof *m->as.sync.fact);
 	for (uint32_t i = 0; i < m->as.sync.count && !c->failed; i++) {
 		endpoint_(c, &m->as.sync.fact[i].entry);
-		past_(c, &m->as.sync.fact[i].past);
+		past_(c, &m->as.sync.fact[i].history);
 		u64_(c, &m->as.sync.fact[i].gone_in_us);
 		u64_(c, &m->as.sync.fact[i].cold_in_us);
 	}
 	m->as.sync.gone = list_(c, &m->as.sync.gone_count, m->as.sync.gone, sizeof *m->as.sync.gone);
 	for (uint32_t i = 0; i < m->as.sync.gone_count && !c->failed; i++) {
 		u64_(c, &m->as.sync.gone[i].endpoint_id);
-		past_(c, &m->as.sync.gone[i].past);
+		past_(c, &m->as.sync.gone[i].history);
 	}
 	m->as.sync.hall = list_(c, &m->as.sync.hall_count, m->as.sync.hall, sizeof *m->as.sync.hall);
 	for (uint32_t i = 0; i < m->as.sync.hall_count && !c->failed; i++) {
--- a/src/libbayhoist/node.c
+++ b/src/libbayhoist/node.c
@@ -314,7 +314,7 @@
 	if (m->type != BH__MESSAGE_PING && m->type != BH__MESSAGE_ACK)
 		return;
 	for (unsigned i = 0; i < m->as.ping.digest_count; i++)
-		bh__routes_take_digest(n->routes, &m->as.ping.digest[i], n->now_us);
+		bh__routes_update_digest(n->routes, &m->as.ping.digest[i], n->now_us);
 	bh__peer_sync_receive_revision(n, m->from_node, m->as.ping.self.config_revision);
 }
 
--- a/src/libbayhoist/platform_sync.c
+++ b/src/libbayhoist/platform_sync.c
@@ -177,7 +177,7 @@
 BH__PlatformSyncStatus bh__platform_sync_get_status(const BH__PlatformSync *l)
 {
 	return (BH__PlatformSyncStatus){.endpoints_as_of_us = l->as_of_us,
-									.store_version = bh__registry_get_place(l->registry),
+									.store_version = bh__registry_get_store_version(l->registry),
 									.out_of_sync_since_us = l->out_of_sync_since_us,
 									.source_node = l->source.node,
 									.next_own_read_us = l->out_of_sync_since_us ? l->next_own_read_us : 0};
@@ -539,7 +539,7 @@
 	m.as.sync.hold_time_us = hold_us;
 	m.as.sync.platform_unavailable = bh__sync_source_is_platform_unavailable(&l->source);
 	m.as.sync.configuration_version = MAX(version, l->rejected_version);
-	m.as.sync.store_version = bh__registry_get_place(l->registry);
+	m.as.sync.store_version = bh__registry_get_store_version(l->registry);
 	m.as.sync.era_start = bh__registry_get_era_start(l->registry);
 	m.as.sync.registry_age_us = now_us - l->as_of_us;
 	add_halls_(l, &m);
@@ -580,7 +580,7 @@
 					  .as_of_us = now_us - MIN(now_us, ask->as.sync.registry_age_us)};
 
 	merge_halls_(l, ask, now_us);
-	q.lacks_halls = bh__registry_knows_more_of_halls(l->registry, ask->as.sync.hall, ask->as.sync.hall_count);
+	q.lacks_halls = bh__registry_has_newer_halls(l->registry, ask->as.sync.hall, ask->as.sync.hall_count);
 	q.halls_version = bh__registry_get_halls_version(l->registry);
 	for (guint i = l->held->len; i-- > 0;)
 		if (g_array_index(l->held, HeldRequest_, i).node == q.node)
@@ -609,7 +609,8 @@
 {
 	BH__PlatformSyncConfiguration c = l->port->get_configuration(l->port);
 	bool is_older = l->as_of_us <= q->as_of_us;
-	bool differs = bh__store_version_is_after(bh__registry_get_changed_place(l->registry), q->store_version);
+	bool differs =
+		bh__store_version_is_after(bh__registry_get_changed_store_version(l->registry), q->store_version);
 
 	if (now_us >= q->answer_by_us || c.version > q->configuration_version)
 		return true;
@@ -641,7 +642,7 @@
 {
 	BH__PlatformSyncConfiguration c = l->port->get_configuration(l->port);
 	BH__Message m = {.type = BH__MESSAGE_SYNC};
-	GArray *facts = g_array_new(FALSE, FALSE, sizeof(BH__EndpointFact));
+	GArray *facts = g_array_new(FALSE, FALSE, sizeof(BH__EndpointRecord));
 	GArray *departures = g_array_new(FALSE, FALSE, sizeof(BH__EndpointDeparture));
 
 	m.as.sync.asked_us = q->asked_us;
@@ -650,14 +651,14 @@
 	m.as.sync.configuration_age_us = now_us - c.platform_read_us;
 	if (m.as.sync.configuration_version > q->configuration_version)
 		m.as.sync.configuration = *packed_configuration_(l, c.version);
-	m.as.sync.store_version = bh__registry_get_place(l->registry);
+	m.as.sync.store_version = bh__registry_get_store_version(l->registry);
 	m.as.sync.era_start = bh__registry_get_era_start(l->registry);
 	m.as.sync.registry_age_us = now_us - l->as_of_us;
 	m.as.sync.reader = l->remote_reader ? l->remote_reader : bh__members_get_self(l->members)->node_id;
 	m.as.sync.platform_unavailable = is_reader_out_of_sync_(l);
 	add_facts_(l, q, now_us, facts, departures, &m.as.sync.is_complete);
 	m.as.sync.count = facts->len;
-	m.as.sync.fact = (BH__EndpointFact *)(void *)facts->data;
+	m.as.sync.fact = (BH__EndpointRecord *)(void *)facts->data;
 	m.as.sync.gone_count = departures->len;
 	m.as.sync.gone = (BH__EndpointDeparture *)(void *)departures->data;
 	add_halls_(l, &m);
@@ -684,12 +685,12 @@
 	const BH__Registry *r = l->registry;
 
 	*is_complete = false;
-	if (bh__store_version_is_zero(bh__registry_get_place(r)) ||
+	if (bh__store_version_is_zero(bh__registry_get_store_version(r)) ||
 		bh__registry_list_changes(r, q->store_version, now_us, facts, departures))
 		return;
 	*is_complete = true;
 	for (unsigned i = 0; i < bh__registry_get_count(r); i++)
-		bh__registry_add_fact(r, i, now_us, facts);
+		bh__registry_add_record(r, i, now_us, facts);
 }
 
 /* Handles the answer of a source. The ages in it count back from the send time of the request plus the time
@@ -752,19 +753,19 @@
 	BH__Registry *r = l->registry;
 	BH__StoreVersion store_version = m->as.sync.store_version;
 	unsigned was_count = bh__registry_get_count(r);
-	bool is_behind = bh__store_version_is_after(bh__registry_get_place(r), store_version);
+	bool is_behind = bh__store_version_is_after(bh__registry_get_store_version(r), store_version);
 
 	if (bh__store_version_is_zero(store_version))
 		return;
 	bh__registry_begin_era(r, m->as.sync.era_start.era == store_version.era ? m->as.sync.era_start
 																			: store_version);
 	for (uint32_t i = 0; i < m->as.sync.count; i++)
-		bh__registry_put_fact(r, &m->as.sync.fact[i], store_version, now_us);
+		bh__registry_put_record(r, &m->as.sync.fact[i], store_version, now_us);
 	for (uint32_t i = 0; i < m->as.sync.gone_count; i++)
 		bh__registry_put_departure(r, &m->as.sync.gone[i], store_version);
 	if (m->as.sync.is_complete)
 		remove_unlisted_(r, m, now_us);
-	bh__registry_set_place(r, store_version);
+	bh__registry_set_store_version(r, store_version);
 	if (m->as.sync.count || m->as.sync.gone_count)
 		l->port->report_received(l->port, m, was_count);
 	if (is_behind)
@@ -784,6 +785,6 @@
 		uint64_t id = bh__hash_name(m->as.sync.fact[i].entry.id);
 		g_hash_table_add(ids, g_memdup2(&id, sizeof id));
 	}
-	bh__registry_keep_only(r, ids, m->as.sync.store_version, now_us);
+	bh__registry_retain_only(r, ids, m->as.sync.store_version, now_us);
 	g_hash_table_unref(ids);
 }
--- a/src/libbayhoist/registry.c
+++ b/src/libbayhoist/registry.c
@@ -19,21 +19,21 @@
 #define COLD_TOLERANCE_US_ BH__SECOND_US
 
 static bool merge_(BH__Registry *r, uint64_t id, const BH__EndpointEntry *entry,
-				   const BH__EndpointPast *update, uint64_t gone_at_us, BH__StoreVersion as_of);
+				   const BH__EndpointHistory *update, uint64_t gone_at_us, BH__StoreVersion as_of);
 static bool merge_listed_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry,
-						  const BH__EndpointPast *update, uint64_t gone_at_us, BH__StoreVersion as_of);
-static void note_invisible_change_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointPast *before,
-								   BH__StoreVersion as_of);
+						  const BH__EndpointHistory *update, uint64_t gone_at_us, BH__StoreVersion as_of);
+static void note_invisible_change_(BH__Registry *r, BH__RegisteredEndpoint *e,
+								   const BH__EndpointHistory *before, BH__StoreVersion as_of);
 static BH__StoreVersion note_change_(BH__Registry *r, BH__StoreVersion as_of);
-static bool is_entry_later_(const BH__EndpointPast *known, const BH__EndpointPast *update);
-static void merge_past_(BH__EndpointPast *past, const BH__EndpointPast *update);
-static bool is_gone_(const BH__EndpointPast *past);
-static bool is_draining_(const BH__EndpointPast *past);
+static bool is_entry_later_(const BH__EndpointHistory *known, const BH__EndpointHistory *update);
+static void merge_past_(BH__EndpointHistory *history, const BH__EndpointHistory *update);
+static bool is_gone_(const BH__EndpointHistory *history);
+static bool is_draining_(const BH__EndpointHistory *history);
 static bool differs_in_cold_(const BH__Registry *r, const BH__EndpointEntry *was,
 							 const BH__EndpointEntry *is);
 static BH__RegisteredEndpoint *add_endpoint_(BH__Registry *r, uint64_t id);
 static void set_entry_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry);
-static void merge_departed_(BH__Registry *r, uint64_t id, const BH__EndpointPast *past,
+static void merge_departed_(BH__Registry *r, uint64_t id, const BH__EndpointHistory *history,
 							BH__StoreVersion as_of);
 static void remove_departed_(BH__Registry *r, BH__RegisteredEndpoint *e);
 static void add_departure_(BH__Registry *r, const BH__EndpointDeparture *departure);
@@ -69,20 +69,20 @@
 }
 
 /* Returns the store version up to which all changes are in the table. */
-BH__StoreVersion bh__registry_get_place(const BH__Registry *r)
+BH__StoreVersion bh__registry_get_store_version(const BH__Registry *r)
 {
 	return r->store_version;
 }
 
 /* Returns the store version with which the last visible change was merged. */
-BH__StoreVersion bh__registry_get_changed_place(const BH__Registry *r)
+BH__StoreVersion bh__registry_get_changed_store_version(const BH__Registry *r)
 {
 	return r->changed;
 }
 
 /* Records that all changes up to a store version are merged, read from the store or received from a node that
  * had them. */
-void bh__registry_set_place(BH__Registry *r, BH__StoreVersion store_version)
+void bh__registry_set_store_version(BH__Registry *r, BH__StoreVersion store_version)
 {
 	r->store_version = bh__store_version_max(r->store_version, store_version);
 }
@@ -120,7 +120,7 @@
 
 /* Returns the version at which an entry was written. For an entry that was part of the restored backup, this
  * is in an earlier era than the one in which it was read. */
-BH__StoreVersion bh__registry_written(const BH__Registry *r, BH__StoreVersion p)
+BH__StoreVersion bh__registry_get_written_version(const BH__Registry *r, BH__StoreVersion p)
 {
 	for (unsigned i = 0; i < r->era_count; i++)
 		if (p.era == r->era[i].start.era && p.revision <= r->era[i].start.revision)
@@ -133,10 +133,10 @@
 bool bh__registry_put(BH__Registry *r, const BH__EndpointEntry *entry, BH__StoreVersion listed,
 					  BH__StoreVersion as_of)
 {
-	BH__EndpointPast update = {.listed = bh__registry_written(r, listed),
-							   .born_ms = entry->born_ms,
-							   .drained = entry->draining,
-							   .drained_born_ms = entry->born_ms};
+	BH__EndpointHistory update = {.listed = bh__registry_get_written_version(r, listed),
+								  .born_ms = entry->born_ms,
+								  .drained = entry->draining,
+								  .drained_born_ms = entry->born_ms};
 
 	return merge_(r, bh__hash_name(entry->id), entry, &update, 0, as_of);
 }
@@ -148,21 +148,21 @@
 						 BH__StoreVersion as_of)
 {
 	const BH__RegisteredEndpoint *e = bh__registry_find(r, endpoint_id);
-	BH__EndpointPast update = {.gone = gone};
+	BH__EndpointHistory update = {.gone = gone};
 
-	if (!e || bh__store_version_is_after(gone, e->past.gone))
+	if (!e || bh__store_version_is_after(gone, e->history.gone))
 		merge_(r, endpoint_id, NULL, &update, gone_at_us, as_of);
 }
 
 /* Merges the state of a listed endpoint received from another node. Returns true if this changes what this
  * node sees of the endpoint. */
-bool bh__registry_put_fact(BH__Registry *r, const BH__EndpointFact *f, BH__StoreVersion as_of,
-						   uint64_t now_us)
+bool bh__registry_put_record(BH__Registry *r, const BH__EndpointRecord *f, BH__StoreVersion as_of,
+							 uint64_t now_us)
 {
-	BH__EndpointPast update = f->past;
+	BH__EndpointHistory update = f->history;
 	BH__EndpointEntry entry = f->entry;
 
-	update.listed = bh__registry_written(r, update.listed);
+	update.listed = bh__registry_get_written_version(r, update.listed);
 	entry.cold_until_us = f->cold_in_us ? now_us + f->cold_in_us : 0;
 	return merge_(r, bh__hash_name(entry.id), &entry, &update, f->gone_in_us ? now_us + f->gone_in_us : 0,
 				  as_of);
@@ -171,9 +171,9 @@
 /* Merges the state of a departed endpoint received from another node. */
 void bh__registry_put_departure(BH__Registry *r, const BH__EndpointDeparture *d, BH__StoreVersion as_of)
 {
-	BH__EndpointPast update = d->past;
+	BH__EndpointHistory update = d->history;
 
-	update.listed = bh__registry_written(r, update.listed);
+	update.listed = bh__registry_get_written_version(r, update.listed);
 	merge_(r, d->endpoint_id, NULL, &update, 0, as_of);
 }
 
@@ -184,7 +184,7 @@
  * is kept. */
 bool bh__registry_note_leaving(BH__Registry *r, uint64_t endpoint_id, uint64_t born_ms)
 {
-	BH__EndpointPast update = {.drained = true, .drained_born_ms = born_ms};
+	BH__EndpointHistory update = {.drained = true, .drained_born_ms = born_ms};
 
 	return merge_(r, endpoint_id, NULL, &update, 0, (BH__StoreVersion){0});
 }
@@ -192,7 +192,7 @@
 /* Applies a complete list of endpoints as of a version, read from the store or received from another node.
  * Endpoints whose ids (uint64_t) are not in `ids` count as gone as of that version, unless a later write is
  * known. Endpoints already known to be gone do not change. */
-void bh__registry_keep_only(BH__Registry *r, GHashTable *ids, BH__StoreVersion as_of, uint64_t gone_at_us)
+void bh__registry_retain_only(BH__Registry *r, GHashTable *ids, BH__StoreVersion as_of, uint64_t gone_at_us)
 {
 	for (guint i = 0; i < r->table->len; i++) {
 		BH__RegisteredEndpoint *e = bh__registry_get(r, i);
@@ -205,11 +205,11 @@
  * `gone_at_us` 0: a removal takes effect at once. Returns true if what this node sees of an endpoint in the
  * table changes. */
 static bool merge_(BH__Registry *r, uint64_t id, const BH__EndpointEntry *entry,
-				   const BH__EndpointPast *update, uint64_t gone_at_us, BH__StoreVersion as_of)
+				   const BH__EndpointHistory *update, uint64_t gone_at_us, BH__StoreVersion as_of)
 {
 	BH__RegisteredEndpoint *e = bh__registry_find(r, id);
 	BH__EndpointDeparture *d = e ? NULL : g_hash_table_lookup(r->departed, &id);
-	BH__EndpointPast merged = d ? d->past : (BH__EndpointPast){0};
+	BH__EndpointHistory merged = d ? d->history : (BH__EndpointHistory){0};
 	BH__EndpointSignals signals = d ? d->signals : (BH__EndpointSignals){0};
 	uint64_t born_ms = merged.born_ms;
 
@@ -220,15 +220,16 @@
 		merge_departed_(r, id, &merged, as_of);
 		return false;
 	}
-	if (!d && !bh__store_version_is_zero(r->floor) && !bh__store_version_is_after(update->listed, r->floor))
+	if (!d && !bh__store_version_is_zero(r->evicted_gone_version) &&
+		!bh__store_version_is_after(update->listed, r->evicted_gone_version))
 		return false; /* it may have departed and been evicted */
 	e = add_endpoint_(r, id);
 	if (d)
-		e->past = merged;
+		e->history = merged;
 	merge_listed_(r, e, entry, update, gone_at_us, as_of);
 	if (e->entry.born_ms == born_ms) { /* it is the same incarnation */
 		e->signals = signals;
-		bh__endpoint_rate_set_advertised(&e->rate, &e->signals.named, 0);
+		bh__endpoint_rate_set_advertised(&e->rate, &e->signals.advertised, 0);
 	}
 	return true;
 }
@@ -236,22 +237,22 @@
 /* Merges an update of an endpoint in the table, which may have just been added without an entry. Returns true
  * if what this node sees of it changes. */
 static bool merge_listed_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointEntry *entry,
-						  const BH__EndpointPast *update, uint64_t gone_at_us, BH__StoreVersion as_of)
+						  const BH__EndpointHistory *update, uint64_t gone_at_us, BH__StoreVersion as_of)
 {
-	BH__EndpointPast before = e->past;
+	BH__EndpointHistory before = e->history;
 	BH__EndpointEntry was = e->entry;
 	uint64_t was_gone_at_us = e->gone_at_us;
 	bool is_new = !was.id[0];
 
-	merge_past_(&e->past, update);
+	merge_past_(&e->history, update);
 	if (is_new || (entry && is_entry_later_(&before, update)))
 		set_entry_(r, e, entry);
-	e->entry.draining = is_draining_(&e->past);
-	if (!is_gone_(&e->past))
+	e->entry.draining = is_draining_(&e->history);
+	if (!is_gone_(&e->history))
 		e->gone_at_us = 0;
-	else if (!was_gone_at_us || bh__store_version_is_after(e->past.gone, before.gone))
+	else if (!was_gone_at_us || bh__store_version_is_after(e->history.gone, before.gone))
 		e->gone_at_us = MAX(gone_at_us, 1);
-	else if (!bh__store_version_compare(update->gone, e->past.gone))
+	else if (!bh__store_version_compare(update->gone, e->history.gone))
 		e->gone_at_us = MIN(e->gone_at_us, MAX(gone_at_us, 1));
 	if (!is_new && was_gone_at_us == e->gone_at_us && was.draining == e->entry.draining &&
 		was.born_ms == e->entry.born_ms && !strcmp(was.address, e->entry.address) &&
@@ -259,7 +260,7 @@
 		note_invisible_change_(r, e, &before, as_of);
 		return false;
 	}
-	e->learnt = note_change_(r, as_of);
+	e->merged_version = note_change_(r, as_of);
 	r->version++;
 	return true;
 }
@@ -276,11 +277,12 @@
 /* Records a change that does not affect the use of an endpoint but must reach other nodes. If the endpoint
  * went and came back between two platform reads, nodes that received its removal must receive its return. If
  * it is listed anew in a new era, other nodes must know that it is still there. */
-static void note_invisible_change_(BH__Registry *r, BH__RegisteredEndpoint *e, const BH__EndpointPast *before,
-								   BH__StoreVersion as_of)
+static void note_invisible_change_(BH__Registry *r, BH__RegisteredEndpoint *e,
+								   const BH__EndpointHistory *before, BH__StoreVersion as_of)
 {
-	if (bh__store_version_is_after(e->past.gone, before->gone) || e->past.listed.era != before->listed.era)
-		e->learnt = note_change_(r, as_of);
+	if (bh__store_version_is_after(e->history.gone, before->gone) ||
+		e->history.listed.era != before->listed.era)
+		e->merged_version = note_change_(r, as_of);
 }
 
 /* Returns the version with which a change counts as merged. A change that arrives late, from a version
@@ -293,7 +295,7 @@
 
 /* Returns true if an update has a later entry than the known one: from a later start, or written later by the
  * same start. */
-static bool is_entry_later_(const BH__EndpointPast *known, const BH__EndpointPast *update)
+static bool is_entry_later_(const BH__EndpointHistory *known, const BH__EndpointHistory *update)
 {
 	if (update->born_ms != known->born_ms)
 		return update->born_ms > known->born_ms;
@@ -301,30 +303,30 @@
 }
 
 /* Merges the history in an update into a known one. */
-static void merge_past_(BH__EndpointPast *past, const BH__EndpointPast *update)
+static void merge_past_(BH__EndpointHistory *history, const BH__EndpointHistory *update)
 {
-	past->gone = bh__store_version_max(past->gone, update->gone);
-	if (is_entry_later_(past, update)) {
-		past->born_ms = update->born_ms;
-		past->listed = update->listed;
+	history->gone = bh__store_version_max(history->gone, update->gone);
+	if (is_entry_later_(history, update)) {
+		history->born_ms = update->born_ms;
+		history->listed = update->listed;
 	}
-	if (update->drained && (!past->drained || update->drained_born_ms > past->drained_born_ms)) {
-		past->drained = true;
-		past->drained_born_ms = update->drained_born_ms;
+	if (update->drained && (!history->drained || update->drained_born_ms > history->drained_born_ms)) {
+		history->drained = true;
+		history->drained_born_ms = update->drained_born_ms;
 	}
 }
 
 /* Returns true if an endpoint has not written its entry since it was last known to be gone. */
-static bool is_gone_(const BH__EndpointPast *past)
+static bool is_gone_(const BH__EndpointHistory *history)
 {
-	return bh__store_version_is_after(past->gone, past->listed);
+	return bh__store_version_is_after(history->gone, history->listed);
 }
 
 /* Returns true if the latest incarnation of an endpoint has announced its leaving. Only a later incarnation
  * revokes this: an entry of the same incarnation without the mark is an old one that was written late. */
-static bool is_draining_(const BH__EndpointPast *past)
+static bool is_draining_(const BH__EndpointHistory *history)
 {
-	return past->drained && past->born_ms <= past->drained_born_ms;
+	return history->drained && history->born_ms <= history->drained_born_ms;
 }
 
 /* Adds an endpoint without an entry, and drops its departure. */
@@ -346,36 +348,37 @@
 	bool restarted = !e->entry.id[0] || entry->born_ms > e->entry.born_ms;
 
 	e->entry = *entry;
-	e->hall_drains = bh__registry_is_hall_draining(r, entry->hall);
+	e->is_hall_draining = bh__registry_is_hall_draining(r, entry->hall);
 	if (!restarted)
 		return;
-	e->life = ++r->lives;
+	e->incarnation = ++r->incarnation_count;
 	e->in_flight = 0;
 	e->reported = 0;
 	e->reported_us = 0;
-	e->set_aside_until_us = 0;
+	e->ejected_until_us = 0;
 	e->failures = 0;
 	e->failure_share = 0;
 	e->signals = (BH__EndpointSignals){0};
 	e->rate = (BH__EndpointRate){0};
-	e->full_until_us = 0;
+	e->no_grant_until_us = 0;
 }
 
 /* Merges an update of an endpoint that is gone, or of one that is not in the table. */
-static void merge_departed_(BH__Registry *r, uint64_t id, const BH__EndpointPast *past,
+static void merge_departed_(BH__Registry *r, uint64_t id, const BH__EndpointHistory *history,
 							BH__StoreVersion as_of)
 {
 	BH__EndpointDeparture *d = g_hash_table_lookup(r->departed, &id);
 
 	if (!d) {
-		add_departure_(
-			r, &(BH__EndpointDeparture){.endpoint_id = id, .past = *past, .learnt = note_change_(r, as_of)});
+		add_departure_(r, &(BH__EndpointDeparture){.endpoint_id = id,
+												   .history = *history,
+												   .merged_version = note_change_(r, as_of)});
 		return;
 	}
-	if (bh__store_version_is_after(past->gone,
-								   d->past.gone)) /* other nodes may have seen it come back meanwhile */
-		d->learnt = note_change_(r, as_of);
-	d->past = *past;
+	if (bh__store_version_is_after(history->gone,
+								   d->history.gone)) /* other nodes may have seen it come back meanwhile */
+		d->merged_version = note_change_(r, as_of);
+	d->history = *history;
 }
 
 /* Removes endpoints that count as gone, and ends expired hall drains. */
@@ -394,9 +397,10 @@
 static void remove_departed_(BH__Registry *r, BH__RegisteredEndpoint *e)
 {
 	r->version++;
-	add_departure_(
-		r, &(BH__EndpointDeparture){
-			   .endpoint_id = e->endpoint_id, .past = e->past, .learnt = e->learnt, .signals = e->signals});
+	add_departure_(r, &(BH__EndpointDeparture){.endpoint_id = e->endpoint_id,
+											   .history = e->history,
+											   .merged_version = e->merged_version,
+											   .signals = e->signals});
 	g_hash_table_remove(r->by_id, &e->endpoint_id);
 	g_ptr_array_remove(r->table, e);
 }
@@ -422,15 +426,15 @@
 	g_hash_table_iter_init(&it, r->departed);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		BH__EndpointDeparture *d = value;
-		if (!oldest || bh__store_version_is_after(oldest->past.gone, d->past.gone))
+		if (!oldest || bh__store_version_is_after(oldest->history.gone, d->history.gone))
 			oldest = d;
 	}
-	r->floor = bh__store_version_max(r->floor, oldest->past.gone);
-	r->forgotten = bh__store_version_max(r->forgotten, oldest->learnt);
+	r->evicted_gone_version = bh__store_version_max(r->evicted_gone_version, oldest->history.gone);
+	r->evicted_merged_version = bh__store_version_max(r->evicted_merged_version, oldest->merged_version);
 	g_hash_table_remove(r->departed, &oldest->endpoint_id);
 }
 
-/* Appends to `facts` (BH__EndpointFact) and `departures` (BH__EndpointDeparture) all changes merged after a
+/* Appends to `facts` (BH__EndpointRecord) and `departures` (BH__EndpointDeparture) all changes merged after a
  * version. Returns false if the changes since then are no longer complete; the receiver then needs the whole
  * table. */
 bool bh__registry_list_changes(const BH__Registry *r, BH__StoreVersion since, uint64_t now_us, GArray *facts,
@@ -439,25 +443,25 @@
 	GHashTableIter it;
 	gpointer value;
 
-	if (bh__store_version_is_zero(since) || bh__store_version_is_after(r->forgotten, since))
+	if (bh__store_version_is_zero(since) || bh__store_version_is_after(r->evicted_merged_version, since))
 		return false;
 	for (guint i = 0; i < r->table->len; i++)
-		if (bh__store_version_is_after(bh__registry_get(r, i)->learnt, since))
-			bh__registry_add_fact(r, i, now_us, facts);
+		if (bh__store_version_is_after(bh__registry_get(r, i)->merged_version, since))
+			bh__registry_add_record(r, i, now_us, facts);
 	g_hash_table_iter_init(&it, r->departed);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const BH__EndpointDeparture *d = value;
-		if (bh__store_version_is_after(d->learnt, since))
+		if (bh__store_version_is_after(d->merged_version, since))
 			g_array_append_val(departures, *d);
 	}
 	return true;
 }
 
 /* Appends the state of the endpoint at a table index to `facts`. */
-void bh__registry_add_fact(const BH__Registry *r, unsigned index, uint64_t now_us, GArray *facts)
+void bh__registry_add_record(const BH__Registry *r, unsigned index, uint64_t now_us, GArray *facts)
 {
 	const BH__RegisteredEndpoint *e = bh__registry_get(r, index);
-	BH__EndpointFact f = {.entry = e->entry, .past = e->past};
+	BH__EndpointRecord f = {.entry = e->entry, .history = e->history};
 
 	f.gone_in_us = e->gone_at_us > now_us ? e->gone_at_us - now_us : 0;
 	f.cold_in_us = e->entry.cold_until_us > now_us ? e->entry.cold_until_us - now_us : 0;
@@ -492,7 +496,7 @@
 }
 
 /* Returns true if an endpoint is present and has not announced its leaving. */
-bool bh__registered_endpoint_stays(const BH__RegisteredEndpoint *e, uint64_t now_us)
+bool bh__registered_endpoint_is_active(const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	return !e->entry.draining && (!e->gone_at_us || now_us < e->gone_at_us);
 }
@@ -501,12 +505,12 @@
  * draining. */
 bool bh__registered_endpoint_is_usable(const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
-	return !e->hall_drains && bh__registered_endpoint_stays(e, now_us);
+	return !e->is_hall_draining && bh__registered_endpoint_is_active(e, now_us);
 }
 
 /* Returns true if this node may send new requests to an endpoint: it is usable and has not asked this node
  * for backoff. */
-bool bh__registered_endpoint_takes(const BH__RegisteredEndpoint *e, uint64_t now_us)
+bool bh__registered_endpoint_accepts_requests(const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	return now_us >= e->signals.backoff_until_us && bh__registered_endpoint_is_usable(e, now_us);
 }
--- a/src/libbayhoist/registry_halls.c
+++ b/src/libbayhoist/registry_halls.c
@@ -68,7 +68,7 @@
  * written in the previous era. */
 bool bh__registry_read_hall(BH__Registry *r, const char *name, BH__StoreVersion written, uint64_t now_us)
 {
-	return bh__registry_put_hall(r, name, true, bh__registry_written(r, written), now_us);
+	return bh__registry_put_hall(r, name, true, bh__registry_get_written_version(r, written), now_us);
 }
 
 /* Sets the drain state of a hall, and updates its endpoints if the state changes. */
@@ -93,7 +93,7 @@
 	for (guint i = 0; i < r->table->len; i++) {
 		BH__RegisteredEndpoint *e = bh__registry_get(r, i);
 		if (!strcmp(e->entry.hall, name))
-			e->hall_drains = draining;
+			e->is_hall_draining = draining;
 	}
 	r->version++;
 }
@@ -101,7 +101,7 @@
 /* Ends the drain of each hall that is missing in `names` (char *), the complete set of draining halls as of a
  * store version, unless a later change is known. After a store rollback, drains written since the backup are
  * missing until operators write them again, so they continue for BH__OUTAGE_GRACE_US. */
-void bh__registry_keep_halls(BH__Registry *r, GHashTable *names, BH__StoreVersion as_of, uint64_t now_us)
+void bh__registry_retain_halls(BH__Registry *r, GHashTable *names, BH__StoreVersion as_of, uint64_t now_us)
 {
 	for (guint i = 0; i < r->halls->len; i++) {
 		BH__HallDrain *d = &g_array_index(r->halls, BH__HallDrain, i);
@@ -114,7 +114,7 @@
 		}
 		if (!d->ends_at_us)
 			d->ends_at_us = now_us + BH__OUTAGE_GRACE_US;
-		d->ends_place = as_of;
+		d->ends_version = as_of;
 	}
 }
 
@@ -124,7 +124,7 @@
 	for (guint i = 0; i < r->halls->len; i++) {
 		BH__HallDrain *d = &g_array_index(r->halls, BH__HallDrain, i);
 		if (d->ends_at_us && now_us >= d->ends_at_us)
-			set_draining_(r, d, false, d->ends_place, now_us);
+			set_draining_(r, d, false, d->ends_version, now_us);
 	}
 }
 
@@ -153,9 +153,9 @@
 
 	for (guint i = 0; i < r->table->len; i++) {
 		const BH__RegisteredEndpoint *e = bh__registry_get(r, i);
-		if (strcmp(e->entry.service, service) != 0 || !bh__registered_endpoint_stays(e, now_us))
+		if (strcmp(e->entry.service, service) != 0 || !bh__registered_endpoint_is_active(e, now_us))
 			continue;
-		if (!e->hall_drains)
+		if (!e->is_hall_draining)
 			return 0;
 		since_us = MAX(since_us, find_(r, e->entry.hall)->since_us);
 	}
@@ -170,7 +170,7 @@
 
 /* Returns true if this node knows a hall, or a later change of one, that is missing in another node's list.
  */
-bool bh__registry_knows_more_of_halls(const BH__Registry *r, const BH__HallDrain *hall, unsigned count)
+bool bh__registry_has_newer_halls(const BH__Registry *r, const BH__HallDrain *hall, unsigned count)
 {
 	for (guint i = 0; i < r->halls->len; i++) {
 		const BH__HallDrain *own = &g_array_index(r->halls, BH__HallDrain, i);
--- a/src/libbayhoist/request.c
+++ b/src/libbayhoist/request.c
@@ -168,20 +168,20 @@
 					g_array_append_val(held, e->part[p].grant);
 		}
 		m.as.hold.pool_id = route->pool_id;
-		m.as.hold.full = info && info->boot_id != route->held_to_boot;
+		m.as.hold.full = info && info->boot_id != route->grants_notified_boot;
 		m.as.hold.count = held->len;
 		m.as.hold.grant = (BH__Grant *)(void *)held->data;
-		route->held_to_boot = info ? info->boot_id : 0;
+		route->grants_notified_boot = info ? info->boot_id : 0;
 		if (scheduler == n->options.self.node_id) {
 			BH__Duty *d = bh__duties_find(n, route->pool_id);
 			if (d)
 				bh__pool_process_hold(d->pool, scheduler, bh__members_get_self(n->members)->boot_id,
 									  m.as.hold.full, m.as.hold.grant, m.as.hold.count, n->now_us);
 		}
-		else if (info && info->state == BH__MEMBER_ALIVE && (held->len || route->held_told)) {
+		else if (info && info->state == BH__MEMBER_ALIVE && (held->len || route->grants_notified_count)) {
 			bh__node_send(n, scheduler, &m);
 		}
-		route->held_told = held->len;
+		route->grants_notified_count = held->len;
 		g_array_unref(held);
 	}
 }
--- a/src/libbayhoist/retry_state.c
+++ b/src/libbayhoist/retry_state.c
@@ -74,7 +74,7 @@
 void bh__retry_state_init(BH__RetryState *state, const BH__RouteRule *rule, uint64_t deadline_us)
 {
 	memset(state, 0, sizeof *state);
-	state->repeat = rule->repeat;
+	state->retry_mode = rule->retry_mode;
 	state->max_attempts = MAX(rule->max_attempts, 1u);
 	state->deadline_us = deadline_us;
 }
@@ -98,8 +98,8 @@
 /* Returns true if the request may be sent to one more endpoint, without regard to the retry budget. */
 bool bh__retry_state_may_dispatch_again(const BH__RetryState *state, uint64_t now_us)
 {
-	bool may_run_again = !state->may_have_run || state->repeat != BH__REPEAT_NEVER;
-	bool can_continue = !state->answer_begun || state->repeat == BH__REPEAT_RESUME;
+	bool may_run_again = !state->may_have_run || state->retry_mode != BH__RETRY_MODE_NEVER;
+	bool can_continue = !state->answer_begun || state->retry_mode == BH__RETRY_MODE_RESUME;
 
 	return may_run_again && can_continue && state->dispatches < state->max_attempts &&
 		   state->unreachable <= UNREACHABLE_MAX_ && now_us + MIN_TIME_LEFT_US_ < state->deadline_us;
--- a/src/libbayhoist/routes.c
+++ b/src/libbayhoist/routes.c
@@ -108,7 +108,7 @@
 
 /* Stores a digest if it comes from the pool's scheduler, or from the sender of the stored one with a higher
  * sequence number. */
-void bh__routes_take_digest(BH__Routes *t, const BH__PoolDigest *d, uint64_t now_us)
+void bh__routes_update_digest(BH__Routes *t, const BH__PoolDigest *d, uint64_t now_us)
 {
 	BH__Route *r = bh__routes_find(t, d->pool_id);
 
--- a/src/libbayhoist/routing.c
+++ b/src/libbayhoist/routing.c
@@ -11,7 +11,7 @@
 #define DEFAULT_HEADER_TIMEOUT_MS_ 5000
 #define DEFAULT_IDLE_TIMEOUT_MS_ 15000
 
-const char *const BH__RepeatString[] = {"freely", "never", "resume"};
+const char *const BH__RetryModeString[] = {"freely", "never", "resume"};
 
 struct BH__Routing {
 	unsigned refs;
@@ -55,7 +55,7 @@
 {
 	BH__RouteRule *rule = g_new0(BH__RouteRule, 1);
 
-	rule->repeat = BH__REPEAT_NEVER;
+	rule->retry_mode = BH__RETRY_MODE_NEVER;
 	rule->max_attempts = 1;
 	return rule;
 }
--- a/src/libbayhoist/signal_relay.c
+++ b/src/libbayhoist/signal_relay.c
@@ -70,7 +70,7 @@
 {
 	if (!bh__registry_note_leaving(r->registry, e->endpoint_id, e->entry.born_ms))
 		return false;
-	e->signals.said_leaving = true;
+	e->signals.announced_leaving = true;
 	r->has_leaving_endpoint = true;
 	notify_leaving_(r, e, now_us);
 	return true;
@@ -81,9 +81,9 @@
 {
 	uint64_t home = r->port->find_home(r->port, e->entry.service);
 
-	if (e->signals.leaving_told_node == home)
+	if (e->signals.leaving_notified_node == home)
 		return;
-	e->signals.leaving_told_node = home;
+	e->signals.leaving_notified_node = home;
 	notify_home_(r, BH__SIGNAL_LEAVING, e, now_us);
 }
 
@@ -92,24 +92,25 @@
 void bh__signal_relay_receive_overload(BH__SignalRelay *r, BH__RegisteredEndpoint *e, uint64_t until_us,
 									   uint64_t now_us)
 {
-	if (bh__registered_endpoint_hear_overload(e, until_us, now_us))
+	if (bh__registered_endpoint_receive_overload(e, until_us, now_us))
 		notify_home_(r, BH__SIGNAL_BACKOFF, e, now_us);
 }
 
 /* Handles the limit in an answer that this node has read, or its absence (see
- * bh__registered_endpoint_hear_limit()). Notifies the home node at once if a limit begins or ends, otherwise
- * at most once per CHANGED_LIMIT_PERIOD_US_ or RENOTIFY_US_. Returns true if the limit has changed. */
+ * bh__registered_endpoint_receive_limit()). Notifies the home node at once if a limit begins or ends,
+ * otherwise at most once per CHANGED_LIMIT_PERIOD_US_ or RENOTIFY_US_. Returns true if the limit has changed.
+ */
 bool bh__signal_relay_receive_limit(BH__SignalRelay *r, BH__RegisteredEndpoint *e,
 									const BH__AdvertisedLimit *limit, uint64_t now_us)
 {
-	bool was_in_force = e->signals.named.in_force;
-	bool changed = bh__registered_endpoint_hear_limit(e, limit, now_us);
-	uint64_t period_us = !changed                                    ? RENOTIFY_US_
-						 : was_in_force == e->signals.named.in_force ? CHANGED_LIMIT_PERIOD_US_
-																	 : 0;
-
-	if ((changed || limit->in_force) && now_us >= e->signals.named_told_us + period_us) {
-		e->signals.named_told_us = now_us;
+	bool was_in_force = e->signals.advertised.in_force;
+	bool changed = bh__registered_endpoint_receive_limit(e, limit, now_us);
+	uint64_t period_us = !changed                                         ? RENOTIFY_US_
+						 : was_in_force == e->signals.advertised.in_force ? CHANGED_LIMIT_PERIOD_US_
+																		  : 0;
+
+	if ((changed || limit->in_force) && now_us >= e->signals.limit_notified_us + period_us) {
+		e->signals.limit_notified_us = now_us;
 		notify_home_(r, BH__SIGNAL_LIMIT, e, now_us);
 	}
 	return changed;
@@ -139,14 +140,14 @@
  * the last broadcast. */
 static void queue_limit_(BH__SignalRelay *r, BH__RegisteredEndpoint *e)
 {
-	double per_s = e->signals.named.in_force ? e->signals.named.per_s : 0;
+	double per_s = e->signals.advertised.in_force ? e->signals.advertised.per_s : 0;
 	bool has_changed =
-		fabs(per_s - e->signals.spread_per_s) > BROADCAST_CHANGE_SHARE_ * e->signals.spread_per_s;
+		fabs(per_s - e->signals.broadcast_per_s) > BROADCAST_CHANGE_SHARE_ * e->signals.broadcast_per_s;
 
-	if (e->signals.spread_in_force == e->signals.named.in_force && !has_changed)
+	if (e->signals.broadcast_in_force == e->signals.advertised.in_force && !has_changed)
 		return;
-	e->signals.spread_in_force = e->signals.named.in_force;
-	e->signals.spread_per_s = per_s;
+	e->signals.broadcast_in_force = e->signals.advertised.in_force;
+	e->signals.broadcast_per_s = per_s;
 	queue_(r, BH__SIGNAL_LIMIT, e->endpoint_id);
 }
 
@@ -177,10 +178,11 @@
 		n.time_us = e->signals.overloaded_until_us - MIN(now_us, e->signals.overloaded_until_us);
 	}
 	else if (kind == BH__SIGNAL_LIMIT) {
-		n.in_force = e->signals.named.in_force;
-		n.per_s = e->signals.named.in_force ? e->signals.named.per_s : 0;
+		n.in_force = e->signals.advertised.in_force;
+		n.per_s = e->signals.advertised.in_force ? e->signals.advertised.per_s : 0;
 		/* the end of a limit is dated now, so that it overrides every earlier advertisement of the limit */
-		n.time_us = e->signals.named.in_force ? now_us - MIN(now_us, e->signals.named.received_us) : 0;
+		n.time_us =
+			e->signals.advertised.in_force ? now_us - MIN(now_us, e->signals.advertised.received_us) : 0;
 	}
 	return n;
 }
@@ -210,8 +212,8 @@
 		queue_limit_(r, e);
 	}
 	else if (n->kind == BH__SIGNAL_LIMIT) {
-		e->signals.spread_in_force = n->in_force;
-		e->signals.spread_per_s = n->per_s;
+		e->signals.broadcast_in_force = n->in_force;
+		e->signals.broadcast_per_s = n->per_s;
 	}
 	else if (for_all) {
 		queue_(r, n->kind, n->endpoint_id);
@@ -231,7 +233,7 @@
 		is_new = bh__registry_note_leaving(r->registry, n->endpoint_id, n->born_ms);
 		break;
 	case BH__SIGNAL_BACKOFF:
-		is_new = is_same_start && bh__registered_endpoint_hear_overload(e, now_us + n->time_us, now_us);
+		is_new = is_same_start && bh__registered_endpoint_receive_overload(e, now_us + n->time_us, now_us);
 		break;
 	case BH__SIGNAL_LIMIT:
 		is_new = is_same_start && merge_limit_(e, n, now_us);
@@ -250,7 +252,7 @@
 	BH__AdvertisedLimit limit = {
 		.in_force = n->in_force, .per_s = n->per_s, .received_us = now_us - MIN(now_us, n->time_us)};
 
-	return bh__registered_endpoint_hear_limit(e, &limit, now_us);
+	return bh__registered_endpoint_receive_limit(e, &limit, now_us);
 }
 
 /* Broadcasts queued signals, at most MESSAGES_PER_TICK_ messages. The caller runs this several times per
@@ -278,7 +280,7 @@
 	r->has_leaving_endpoint = false;
 	for (unsigned i = 0; i < bh__registry_get_count(r->registry); i++) {
 		BH__RegisteredEndpoint *e = bh__registry_get(r->registry, i);
-		if (!e->signals.said_leaving)
+		if (!e->signals.announced_leaving)
 			continue;
 		r->has_leaving_endpoint = true;
 		notify_leaving_(r, e, now_us);
@@ -307,7 +309,7 @@
 	for (unsigned i = 0; i < bh__registry_get_count(r->registry); i++) {
 		const BH__RegisteredEndpoint *e = bh__registry_get(r->registry, i);
 		const bool is_known[BH__SIGNAL_KIND_COUNT] = {
-			[BH__SIGNAL_LEAVING] = e->entry.draining, [BH__SIGNAL_LIMIT] = e->signals.named.in_force};
+			[BH__SIGNAL_LEAVING] = e->entry.draining, [BH__SIGNAL_LIMIT] = e->signals.advertised.in_force};
 		for (int kind = 0; kind < BH__SIGNAL_KIND_COUNT; kind++) {
 			if (!is_known[kind] || !is_home_(r, e->entry.service))
 				continue;
--- a/src/test_libbayhoist/fleet.c
+++ b/src/test_libbayhoist/fleet.c
@@ -249,7 +249,7 @@
 		usable = e && bh__registered_endpoint_is_usable(e, f->now_us);
 		f->revivals += usable && n->stopped[i];
 		n->stopped[i] = !usable && !bh__store_version_is_after(f->endpoint[i].left_at,
-															   bh__registry_get_place(n->registry));
+															   bh__registry_get_store_version(n->registry));
 	}
 }
 
@@ -408,7 +408,7 @@
 static void read_store_(Node *n)
 {
 	Fleet *f = n->fleet;
-	BH__StoreVersion from = bh__registry_get_place(n->registry);
+	BH__StoreVersion from = bh__registry_get_store_version(n->registry);
 	BH__StoreVersion to = place_(f, f->revision);
 	uint64_t gone_at_us = bh__platform_sync_get_gone_at_us(n->looks, f->now_us);
 
@@ -427,7 +427,7 @@
 			g_hash_table_add(ids, g_memdup2(&hash, sizeof hash));
 			put_(n, i, f->endpoint[i].revision, to);
 		}
-		bh__registry_keep_only(n->registry, ids, to, gone_at_us);
+		bh__registry_retain_only(n->registry, ids, to, gone_at_us);
 		g_hash_table_unref(ids);
 	}
 	for (guint i = 0; i < f->changes->len && from.era == f->era; i++) {
@@ -441,7 +441,7 @@
 		else
 			put_(n, c->endpoint, c->revision, to);
 	}
-	bh__registry_set_place(n->registry, to);
+	bh__registry_set_store_version(n->registry, to);
 }
 
 /* What operators wrote of a hall comes to a node that looks or watches. */
@@ -470,7 +470,7 @@
 		tell_hall_(n, i, true);
 		g_hash_table_add(names, g_strdup_printf("hall-%u", i));
 	}
-	bh__registry_keep_halls(n->registry, names, place_(f, f->revision), f->now_us);
+	bh__registry_retain_halls(n->registry, names, place_(f, f->revision), f->now_us);
 	g_hash_table_unref(names);
 }
 
--- a/src/test_libbayhoist/test_cold.c
+++ b/src/test_libbayhoist/test_cold.c
@@ -55,7 +55,7 @@
 
 	e.cold_until_us = cold_until_us;
 	bh__registry_put(r, &e, place, place);
-	bh__registry_set_place(r, place);
+	bh__registry_set_store_version(r, place);
 }
 
 /* From `from_us` on, every node has requests at any time for a service with one endpoint that is no engine,
@@ -260,7 +260,7 @@
 /* Returns the number of endpoint changes that the registry lists since a revision. */
 static unsigned count_changes_(const BH__Registry *r, uint64_t since)
 {
-	GArray *changes = g_array_new(FALSE, FALSE, sizeof(BH__EndpointFact));
+	GArray *changes = g_array_new(FALSE, FALSE, sizeof(BH__EndpointRecord));
 	GArray *departures = g_array_new(FALSE, FALSE, sizeof(BH__EndpointDeparture));
 	unsigned count;
 
--- a/src/test_libbayhoist/test_endpoint_rate.c
+++ b/src/test_libbayhoist/test_endpoint_rate.c
@@ -41,14 +41,14 @@
 static Fleet *fleet_new_(unsigned nodes, double per_s, uint32_t seed)
 {
 	Fleet *f = g_new0(Fleet, 1);
-	BH__AdvertisedLimit named = {0};
+	BH__AdvertisedLimit advertised = {0};
 
 	f->rand = g_rand_new_with_seed(seed);
 	f->nodes = nodes;
 	f->arrivals = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-	bh__advertised_limit_receive(&named, per_s, NOW_US);
+	bh__advertised_limit_receive(&advertised, per_s, NOW_US);
 	for (unsigned i = 0; i < HOMES_MAX; i++)
-		bh__endpoint_rate_set_advertised(&f->home[i], &named, NOW_US);
+		bh__endpoint_rate_set_advertised(&f->home[i], &advertised, NOW_US);
 	return f;
 }
 
@@ -186,12 +186,12 @@
 static void no_burst_accumulates_(void **state)
 {
 	Fleet *f = fleet_new_(NODES_MAX, 50, 1);
-	BH__AdvertisedLimit named = {.in_force = true, .per_s = 50, .received_us = NOW_US};
+	BH__AdvertisedLimit advertised = {.in_force = true, .per_s = 50, .received_us = NOW_US};
 
 	(void)state;
 	bh__endpoint_rate_set_rate_share(&f->home[0], 1, NOW_US);
-	bh__advertised_limit_receive(&named, 1, NOW_US + 20 * BH__SECOND_US); /* no requests for 20 s */
-	bh__endpoint_rate_set_advertised(&f->home[0], &named, NOW_US + 20 * BH__SECOND_US);
+	bh__advertised_limit_receive(&advertised, 1, NOW_US + 20 * BH__SECOND_US); /* no requests for 20 s */
+	bh__endpoint_rate_set_advertised(&f->home[0], &advertised, NOW_US + 20 * BH__SECOND_US);
 	for (uint64_t us = NOW_US + 20 * BH__SECOND_US; us < NOW_US + RUN_US; us += STEP_US)
 		for (unsigned n = 0; n < f->nodes; n++)
 			ask_home_(f, n, 0, BH__SECOND_US, us);
@@ -219,18 +219,18 @@
 static void lowest_limit_counts_(void **state)
 {
 	BH__EndpointRate r = {0};
-	BH__AdvertisedLimit named = {.in_force = true, .per_s = 5};
+	BH__AdvertisedLimit advertised = {.in_force = true, .per_s = 5};
 
 	(void)state;
 	assert_false(bh__endpoint_rate_is_limited(&r, NOW_US));
 	assert_true(bh__endpoint_rate_admits(&r, NOW_US));
 	bh__endpoint_rate_set_limit(&r, BH__LIMIT_COLD, 2, NOW_US + BH__SECOND_US, NOW_US);
-	bh__endpoint_rate_set_advertised(&r, &named, NOW_US);
+	bh__endpoint_rate_set_advertised(&r, &advertised, NOW_US);
 	assert_true(bh__endpoint_rate_get_per_s(&r, NOW_US) == 2);
 	assert_false(bh__endpoint_rate_admits(&r, NOW_US)); /* another node is the home */
 	assert_true(bh__endpoint_rate_get_per_s(&r, NOW_US + BH__SECOND_US) == 5);
-	named.in_force = false;
-	bh__endpoint_rate_set_advertised(&r, &named, NOW_US);
+	advertised.in_force = false;
+	bh__endpoint_rate_set_advertised(&r, &advertised, NOW_US);
 	assert_false(bh__endpoint_rate_is_limited(&r, NOW_US + BH__SECOND_US));
 }
 
@@ -242,7 +242,7 @@
 
 	e.born_ms = born_ms;
 	bh__registry_put(r, &e, place, place);
-	bh__registry_set_place(r, place);
+	bh__registry_set_store_version(r, place);
 }
 
 /* Removes the endpoint's entry at a revision. */
@@ -266,17 +266,17 @@
 	(void)state;
 	put_(r, 1, 77);
 	e = bh__registry_get(r, 0);
-	assert_true(bh__registered_endpoint_hear_limit(e, &advertised, NOW_US));
+	assert_true(bh__registered_endpoint_receive_limit(e, &advertised, NOW_US));
 	remove_(r, 2);
 	put_(r, 3, 77);
 	e = bh__registry_get(r, 0);
-	assert_true(e->signals.named.in_force && bh__endpoint_rate_is_limited(&e->rate, NOW_US));
+	assert_true(e->signals.advertised.in_force && bh__endpoint_rate_is_limited(&e->rate, NOW_US));
 	put_(r, 4, 78);
-	assert_false(e->signals.named.in_force || bh__endpoint_rate_is_limited(&e->rate, NOW_US));
-	assert_true(bh__registered_endpoint_hear_limit(e, &advertised, NOW_US));
+	assert_false(e->signals.advertised.in_force || bh__endpoint_rate_is_limited(&e->rate, NOW_US));
+	assert_true(bh__registered_endpoint_receive_limit(e, &advertised, NOW_US));
 	remove_(r, 5);
 	put_(r, 6, 79);
-	assert_false(bh__registry_get(r, 0)->signals.named.in_force);
+	assert_false(bh__registry_get(r, 0)->signals.advertised.in_force);
 	bh__registry_delete(r);
 }
 
--- a/src/test_libbayhoist/test_gateway.c
+++ b/src/test_libbayhoist/test_gateway.c
@@ -135,7 +135,7 @@
 {
 	bool changes = bh__registry_put(r, e, at_(revision), at_(revision));
 
-	bh__registry_set_place(r, at_(revision));
+	bh__registry_set_store_version(r, at_(revision));
 	return changes;
 }
 
@@ -143,7 +143,7 @@
 static void remove_(BH__Registry *r, const char *id, uint64_t revision, uint64_t gone_at_us)
 {
 	bh__registry_remove(r, bh__hash_name(id), at_(revision), gone_at_us, at_(revision));
-	bh__registry_set_place(r, at_(revision));
+	bh__registry_set_store_version(r, at_(revision));
 }
 
 /* An entry that was written before and arrives late must not bring a leaving endpoint back. */
@@ -171,8 +171,8 @@
 	uint64_t hash = bh__hash_name(id);
 
 	g_hash_table_add(ids, &hash);
-	bh__registry_keep_only(r, ids, at_(revision), gone_at_us);
-	bh__registry_set_place(r, at_(revision));
+	bh__registry_retain_only(r, ids, at_(revision), gone_at_us);
+	bh__registry_set_store_version(r, at_(revision));
 	g_hash_table_unref(ids);
 }
 
@@ -208,17 +208,17 @@
 	BH__EndpointEntry old;
 	uint64_t id = bh__hash_name("i-1");
 	const BH__RegisteredEndpoint *known;
-	uint64_t life;
+	uint64_t incarnation;
 
 	(void)state;
 	e.born_ms = 1000;
 	e.draining = true;
 	old = e;
 	put_(r, &e, 1);
-	life = bh__registry_note_start(r, id);
+	incarnation = bh__registry_note_start(r, id);
 	bh__registry_note_start(r, id);
 	for (int i = 0; i < 5; i++)
-		bh__registry_note_end(r, id, life, BH__USE_FAILED, 10);
+		bh__registry_note_end(r, id, incarnation, BH__ENDPOINT_OUTCOME_FAILED, 10);
 	e.born_ms = 2000;
 	e.draining = false;
 	assert_true(put_(r, &e, 2));
@@ -226,9 +226,10 @@
 	assert_true(bh__registered_endpoint_is_usable(known, 11));
 	assert_int_equal(known->in_flight, 0);
 	assert_int_equal(known->failures, 0);
-	assert_int_equal(known->set_aside_until_us, 0);
+	assert_int_equal(known->ejected_until_us, 0);
 	bh__registry_note_start(r, id);
-	bh__registry_note_end(r, id, life, BH__USE_FAILED, 12); /* of a request that died with the old one */
+	bh__registry_note_end(r, id, incarnation, BH__ENDPOINT_OUTCOME_FAILED,
+						  12); /* of a request that died with the old one */
 	assert_int_equal(known->in_flight, 1);
 	assert_int_equal(known->failures, 0);
 	assert_false(put_(r, &old, 3)); /* written before the start, and late */
@@ -252,7 +253,8 @@
 	assert_true(bh__registry_pick(r, "s", "h1", &second, 1, false, 1)->endpoint_id == first);
 	assert_null(bh__registry_pick(r, "t", "h1", NULL, 0, false, 1));
 	for (int i = 0; i < 3; i++)
-		bh__registry_note_end(r, second, bh__registry_find(r, second)->life, BH__USE_FAILED, 10);
+		bh__registry_note_end(r, second, bh__registry_find(r, second)->incarnation,
+							  BH__ENDPOINT_OUTCOME_FAILED, 10);
 	assert_true(bh__registry_pick(r, "s", "h1", NULL, 0, false, 11)->endpoint_id == first);
 	assert_true(bh__registry_find_address(r, "1.1.1.1:2")->endpoint_id == second);
 	assert_null(bh__registry_find_address(r, "1.1.1.1:3"));
@@ -263,32 +265,32 @@
 static void sends_again_only_what_may_(void **state)
 {
 	static const struct {
-		BH__Repeat repeat;
+		BH__RetryMode retry_mode;
 		uint32_t max_attempts;
 		bool answer_begun;
 		BH__DispatchEnd end;
 		BH__NextAction next;
 	} Table[] = {
-		{BH__REPEAT_NEVER, 2, false, BH__DISPATCH_ANSWERED, BH__NEXT_ACTION_DONE},
-		{BH__REPEAT_NEVER, 2, false, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_FAIL},
-		{BH__REPEAT_NEVER, 2, false, BH__DISPATCH_FAILED, BH__NEXT_ACTION_PASS_THROUGH},
-		{BH__REPEAT_NEVER, 2, false, BH__DISPATCH_REFUSED, BH__NEXT_ACTION_SEND},
-		{BH__REPEAT_NEVER, 1, false, BH__DISPATCH_REFUSED, BH__NEXT_ACTION_REFUSE},
-		{BH__REPEAT_NEVER, 1, false, BH__DISPATCH_UNREACHABLE, BH__NEXT_ACTION_SEND},
-		{BH__REPEAT_NEVER, 2, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_BREAK_OFF},
-		{BH__REPEAT_FREELY, 2, false, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_SEND},
-		{BH__REPEAT_FREELY, 2, false, BH__DISPATCH_FAILED, BH__NEXT_ACTION_SEND},
-		{BH__REPEAT_FREELY, 1, false, BH__DISPATCH_FAILED, BH__NEXT_ACTION_PASS_THROUGH},
-		{BH__REPEAT_FREELY, 1, false, BH__DISPATCH_UNRESPONSIVE, BH__NEXT_ACTION_TIME_OUT},
-		{BH__REPEAT_FREELY, 2, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_BREAK_OFF},
-		{BH__REPEAT_RESUME, 2, false, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_SEND},
-		{BH__REPEAT_RESUME, 2, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_RESUME},
-		{BH__REPEAT_RESUME, 1, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_BREAK_OFF},
+		{BH__RETRY_MODE_NEVER, 2, false, BH__DISPATCH_ANSWERED, BH__NEXT_ACTION_DONE},
+		{BH__RETRY_MODE_NEVER, 2, false, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_FAIL},
+		{BH__RETRY_MODE_NEVER, 2, false, BH__DISPATCH_FAILED, BH__NEXT_ACTION_PASS_THROUGH},
+		{BH__RETRY_MODE_NEVER, 2, false, BH__DISPATCH_REFUSED, BH__NEXT_ACTION_SEND},
+		{BH__RETRY_MODE_NEVER, 1, false, BH__DISPATCH_REFUSED, BH__NEXT_ACTION_REFUSE},
+		{BH__RETRY_MODE_NEVER, 1, false, BH__DISPATCH_UNREACHABLE, BH__NEXT_ACTION_SEND},
+		{BH__RETRY_MODE_NEVER, 2, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_BREAK_OFF},
+		{BH__RETRY_MODE_FREELY, 2, false, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_SEND},
+		{BH__RETRY_MODE_FREELY, 2, false, BH__DISPATCH_FAILED, BH__NEXT_ACTION_SEND},
+		{BH__RETRY_MODE_FREELY, 1, false, BH__DISPATCH_FAILED, BH__NEXT_ACTION_PASS_THROUGH},
+		{BH__RETRY_MODE_FREELY, 1, false, BH__DISPATCH_UNRESPONSIVE, BH__NEXT_ACTION_TIME_OUT},
+		{BH__RETRY_MODE_FREELY, 2, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_BREAK_OFF},
+		{BH__RETRY_MODE_RESUME, 2, false, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_SEND},
+		{BH__RETRY_MODE_RESUME, 2, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_RESUME},
+		{BH__RETRY_MODE_RESUME, 1, true, BH__DISPATCH_BROKEN, BH__NEXT_ACTION_BREAK_OFF},
 	};
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(Table); i++) {
-		BH__RouteRule rule = {.repeat = Table[i].repeat, .max_attempts = Table[i].max_attempts};
+		BH__RouteRule rule = {.retry_mode = Table[i].retry_mode, .max_attempts = Table[i].max_attempts};
 		BH__ServiceRetryBudget budget;
 		BH__RetryState x;
 		bh__service_retry_budget_init(&budget, 0.2, 100);
@@ -302,7 +304,7 @@
 /* A request that may have run is never called not run, whatever comes after. */
 static void may_have_run_is_not_forgotten_(void **state)
 {
-	BH__RouteRule rule = {.repeat = BH__REPEAT_FREELY, .max_attempts = 2};
+	BH__RouteRule rule = {.retry_mode = BH__RETRY_MODE_FREELY, .max_attempts = 2};
 	BH__ServiceRetryBudget budget;
 	BH__RetryState x;
 
@@ -337,7 +339,7 @@
 {
 	BH__Registry *r = bh__registry_new(1);
 	BH__EndpointEntry e = {.id = "i-1", .service = "s", .address = "1.1.1.1:1"};
-	GArray *facts = g_array_new(FALSE, FALSE, sizeof(BH__EndpointFact));
+	GArray *facts = g_array_new(FALSE, FALSE, sizeof(BH__EndpointRecord));
 	GArray *gone = g_array_new(FALSE, FALSE, sizeof(BH__EndpointDeparture));
 
 	(void)state;
@@ -350,12 +352,12 @@
 	bh__registry_process_tick(r, 5);
 	assert_true(bh__registry_list_changes(r, at_(1), 5, facts, gone));
 	assert_int_equal(facts->len, 1);
-	assert_true(g_array_index(facts, BH__EndpointFact, 0).entry.draining);
+	assert_true(g_array_index(facts, BH__EndpointRecord, 0).entry.draining);
 	assert_int_equal(gone->len, 1);
 	assert_true(g_array_index(gone, BH__EndpointDeparture, 0).endpoint_id == bh__hash_name("i-1"));
 	g_array_set_size(facts, 0);
 	g_array_set_size(gone, 0);
-	assert_true(bh__registry_list_changes(r, bh__registry_get_place(r), 5, facts, gone));
+	assert_true(bh__registry_list_changes(r, bh__registry_get_store_version(r), 5, facts, gone));
 	assert_int_equal(facts->len + gone->len, 0);
 	assert_true(bh__registry_list_changes(r, at_(1000), 5, facts, gone)); /* it knows more than this node */
 	assert_int_equal(facts->len + gone->len, 0);
@@ -415,7 +417,7 @@
 /* Where there is no place left, a begun answer is cut and nothing else is written into it. */
 static void no_place_ends_a_request_(void **state)
 {
-	BH__RouteRule rule = {.repeat = BH__REPEAT_RESUME, .max_attempts = 2};
+	BH__RouteRule rule = {.retry_mode = BH__RETRY_MODE_RESUME, .max_attempts = 2};
 	BH__RetryState x;
 
 	(void)state;
@@ -581,7 +583,8 @@
 	assert_null(bh__registry_pick(r, "s", "h1", &first, 1, false, 1));
 	put_(r, &b, 2);
 	for (int i = 0; i < 3; i++)
-		bh__registry_note_end(r, second, bh__registry_find(r, second)->life, BH__USE_FAILED, 1);
+		bh__registry_note_end(r, second, bh__registry_find(r, second)->incarnation,
+							  BH__ENDPOINT_OUTCOME_FAILED, 1);
 	assert_true(bh__registry_pick(r, "s", "h1", &first, 1, true, 2)->endpoint_id == second);
 	bh__registry_delete(r);
 }
--- a/src/test_libbayhoist/test_inputs.c
+++ b/src/test_libbayhoist/test_inputs.c
@@ -110,11 +110,11 @@
 		{.node_id = 5, .name = "vm5", .hall = "h", .peer_address = "1.1.1.1:1"}};
 	static BH__Grant grants[2] = {{.grant_id = 9, .member_count = 2}};
 	static BH__ConfigChunk chunks[1] = {{.chunk = 3, .text = (char *)"[]"}};
-	static BH__EndpointFact facts[2] = {
+	static BH__EndpointRecord facts[2] = {
 		{.entry = {.id = "i-1", .service = "s", .address = "1.1.1.1:1", .slots = 3},
-		 .past = {.gone = {1, 2}, .born_ms = 3, .listed = {4, 5}, .drained = true},
+		 .history = {.gone = {1, 2}, .born_ms = 3, .listed = {4, 5}, .drained = true},
 		 .gone_in_us = 6}};
-	static BH__EndpointDeparture gone[2] = {{.endpoint_id = 11, .past = {.gone = {7, 8}}},
+	static BH__EndpointDeparture gone[2] = {{.endpoint_id = 11, .history = {.gone = {7, 8}}},
 											{.endpoint_id = 12}};
 	static BH__HallDrain halls[2] = {{.name = "h1", .draining = true, .changed = {1, 5}}, {.name = "h2"}};
 	static BH__QuarantineEntry held[2] = {
--- a/src/test_libbayhoist/test_registry.c
+++ b/src/test_libbayhoist/test_registry.c
@@ -72,7 +72,7 @@
 	bh__registry_remove(r, id, version_at_(50), NOW_US,
 						version_at_(50)); /* received from the previous reader */
 	bh__registry_process_tick(r, NOW_US);
-	bh__registry_set_place(r, version_at_(50));
+	bh__registry_set_store_version(r, version_at_(50));
 	version = bh__registry_get_version(r);
 	bh__registry_remove(r, id, version_at_(20), NOW_US + BH__OUTAGE_GRACE_US, version_at_(60));
 	assert_false(bh__registry_put(r, &e, version_at_(30), version_at_(60)));
@@ -154,18 +154,18 @@
 /* Sends to `to` all state of `from` that it lacks, as nodes do. */
 static void send_updates_(const BH__Registry *from, BH__Registry *to)
 {
-	GArray *facts = g_array_new(FALSE, FALSE, sizeof(BH__EndpointFact));
+	GArray *facts = g_array_new(FALSE, FALSE, sizeof(BH__EndpointRecord));
 	GArray *gone = g_array_new(FALSE, FALSE, sizeof(BH__EndpointDeparture));
-	BH__StoreVersion store_version = bh__registry_get_place(from);
+	BH__StoreVersion store_version = bh__registry_get_store_version(from);
 
-	if (!bh__registry_list_changes(from, bh__registry_get_place(to), NOW_US, facts, gone))
+	if (!bh__registry_list_changes(from, bh__registry_get_store_version(to), NOW_US, facts, gone))
 		for (unsigned i = 0; i < bh__registry_get_count(from); i++)
-			bh__registry_add_fact(from, i, NOW_US, facts);
+			bh__registry_add_record(from, i, NOW_US, facts);
 	for (guint i = 0; i < facts->len; i++)
-		bh__registry_put_fact(to, &g_array_index(facts, BH__EndpointFact, i), store_version, NOW_US);
+		bh__registry_put_record(to, &g_array_index(facts, BH__EndpointRecord, i), store_version, NOW_US);
 	for (guint i = 0; i < gone->len; i++)
 		bh__registry_put_departure(to, &g_array_index(gone, BH__EndpointDeparture, i), store_version);
-	bh__registry_set_place(to, store_version);
+	bh__registry_set_store_version(to, store_version);
 	bh__registry_process_tick(to, NOW_US);
 	g_array_unref(facts);
 	g_array_unref(gone);
@@ -188,14 +188,14 @@
 		for (unsigned i = 0; i < CHANGES; i++) {
 			BH__Registry *reader = node[g_rand_int_range(rand, 0, 3)];
 			all[i] = true;
-			for (uint64_t k = bh__registry_get_place(reader).revision; k <= i; k++)
+			for (uint64_t k = bh__registry_get_store_version(reader).revision; k <= i; k++)
 				apply_change_(reader, &c[k]);
-			bh__registry_set_place(reader, version_at_(i + 1));
+			bh__registry_set_store_version(reader, version_at_(i + 1));
 			for (unsigned n = 0; n < 3; n++) {
 				BH__Registry *from = node[g_rand_int_range(rand, 0, 3)];
 				if (from != node[n])
 					send_updates_(from, node[n]);
-				if (bh__registry_get_place(node[n]).revision != i + 1)
+				if (bh__registry_get_store_version(node[n]).revision != i + 1)
 					continue;
 				for (unsigned e = 0; e < ENDPOINTS; e++) {
 					const BH__EndpointEntry known = entry_(e, 0, false);
@@ -230,12 +230,12 @@
 		bh__registry_put(r, &remaining, version_at_(12), version_at_(50));
 		bh__registry_remove(r, bh__hash_name(departed.id), version_at_(40), NOW_US, version_at_(50));
 		bh__registry_process_tick(r, NOW_US);
-		bh__registry_set_place(r, version_at_(50));
+		bh__registry_set_store_version(r, version_at_(50));
 	}
 	bh__registry_begin_era(reader, start);
 	assert_false(bh__registry_put(reader, &departed, (BH__StoreVersion){.era = 1, .revision = 18}, start));
 	bh__registry_put(reader, &remaining, (BH__StoreVersion){.era = 1, .revision = 19}, start);
-	bh__registry_set_place(reader, start);
+	bh__registry_set_store_version(reader, start);
 	assert_false(is_usable_(reader, departed.id));
 	assert_true(is_usable_(reader, remaining.id));
 	bh__registry_begin_era(other, start); /* as it is received with the changes */
@@ -243,7 +243,7 @@
 	assert_false(is_usable_(other, departed.id));
 	assert_true(is_usable_(other, remaining.id));
 	assert_true(bh__registry_put(reader, &departed, new_write, new_write)); /* it has really returned */
-	bh__registry_set_place(reader, new_write);
+	bh__registry_set_store_version(reader, new_write);
 	send_updates_(reader, other);
 	assert_true(is_usable_(other, departed.id));
 	bh__registry_remove(other, bh__hash_name(remaining.id), new_write, NOW_US, new_write);
@@ -266,9 +266,9 @@
 
 	(void)state;
 	bh__registry_put(reader, &e, version_at_(1), version_at_(1));
-	bh__registry_set_place(reader, version_at_(1));
+	bh__registry_set_store_version(reader, version_at_(1));
 	bh__registry_remove(reader, id, version_at_(2), NOW_US + 500, version_at_(3));
-	bh__registry_set_place(reader, version_at_(3));
+	bh__registry_set_store_version(reader, version_at_(3));
 	send_updates_(reader, other); /* it has no state yet, so it receives the whole table */
 	assert_true(is_usable_(other, e.id));
 	assert_true(bh__registry_find(other, id)->gone_at_us == NOW_US + 500);
@@ -347,17 +347,17 @@
 	BH__EndpointEntry e = entry_(1, 7, false);
 
 	(void)state;
-	bh__registry_set_place(r, version_at_(30));
+	bh__registry_set_store_version(r, version_at_(30));
 	bh__registry_put_hall(r, "h1", true, version_at_(20), NOW_US);
-	bh__registry_keep_halls(r, none, version_at_(19), NOW_US);
+	bh__registry_retain_halls(r, none, version_at_(19), NOW_US);
 	assert_true(bh__registry_is_hall_draining(r, "h1"));
-	bh__registry_keep_halls(r, none, version_at_(21), NOW_US);
+	bh__registry_retain_halls(r, none, version_at_(21), NOW_US);
 	assert_false(bh__registry_is_hall_draining(r, "h1"));
 	bh__registry_put_hall(r, "h1", true, version_at_(25), NOW_US);
 	bh__registry_put(r, &e, version_at_(24), version_at_(25));
 	assert_true(bh__registry_get_drained_since_us(r, "s", NOW_US + 1) == NOW_US);
 	assert_true(bh__registry_get_drained_since_us(r, "other", NOW_US + 1) == 0);
-	bh__registry_keep_halls(r, none, (BH__StoreVersion){.era = 1, .revision = 3}, NOW_US);
+	bh__registry_retain_halls(r, none, (BH__StoreVersion){.era = 1, .revision = 3}, NOW_US);
 	bh__registry_process_tick(r, NOW_US + BH__OUTAGE_GRACE_US - 1);
 	assert_true(bh__registry_is_hall_draining(r, "h1"));
 	bh__registry_process_tick(r, NOW_US + BH__OUTAGE_GRACE_US);
@@ -470,20 +470,20 @@
 
 	(void)state;
 	bh__registry_put(r, &e, version_at_(10), version_at_(10));
-	assert_int_equal(bh__registry_get_taking_us(r, "s", NOW_US), 0);
-	assert_true(bh__registered_endpoint_hear_backoff(bh__registry_find(r, id), until_us));
-	assert_false(bh__registered_endpoint_hear_backoff(bh__registry_find(r, id), until_us - 1));
-	bh__registry_note_end(r, id, bh__registry_find(r, id)->life, BH__USE_SERVED, NOW_US);
-	assert_false(bh__registered_endpoint_takes(bh__registry_find(r, id), until_us - 1));
-	assert_true(bh__registered_endpoint_takes(bh__registry_find(r, id), until_us));
+	assert_int_equal(bh__registry_get_available_us(r, "s", NOW_US), 0);
+	assert_true(bh__registered_endpoint_receive_backoff(bh__registry_find(r, id), until_us));
+	assert_false(bh__registered_endpoint_receive_backoff(bh__registry_find(r, id), until_us - 1));
+	bh__registry_note_end(r, id, bh__registry_find(r, id)->incarnation, BH__ENDPOINT_OUTCOME_SERVED, NOW_US);
+	assert_false(bh__registered_endpoint_accepts_requests(bh__registry_find(r, id), until_us - 1));
+	assert_true(bh__registered_endpoint_accepts_requests(bh__registry_find(r, id), until_us));
 	assert_true(is_usable_(r, e.id)); /* for other nodes */
-	assert_int_equal(bh__registry_get_taking_us(r, "s", NOW_US), until_us);
+	assert_int_equal(bh__registry_get_available_us(r, "s", NOW_US), until_us);
 	assert_null(bh__registry_pick(r, "s", "h1", NULL, 0, true, NOW_US));
 	assert_int_equal(bh__registry_list_backoffs(r, "s", NOW_US, backing_off, 4), 1);
 	assert_int_equal(backing_off[0], id);
 	assert_int_equal(bh__registry_list_backoffs(r, "another", NOW_US, backing_off, 4), 0);
 	bh__registry_put(r, &other, version_at_(11), version_at_(11));
-	assert_int_equal(bh__registry_get_taking_us(r, "s", NOW_US), 0);
+	assert_int_equal(bh__registry_get_available_us(r, "s", NOW_US), 0);
 	assert_int_equal(bh__registry_pick(r, "s", "h1", NULL, 0, true, NOW_US)->endpoint_id,
 					 bh__hash_name(other.id));
 
@@ -491,10 +491,10 @@
 	bh__registry_process_tick(r, NOW_US);
 	assert_null(bh__registry_find(r, id));
 	bh__registry_put(r, &e, version_at_(13), version_at_(13));
-	assert_false(bh__registered_endpoint_takes(bh__registry_find(r, id), until_us - 1));
+	assert_false(bh__registered_endpoint_accepts_requests(bh__registry_find(r, id), until_us - 1));
 	e.born_ms++;
 	bh__registry_put(r, &e, version_at_(14), version_at_(14));
-	assert_true(bh__registered_endpoint_takes(bh__registry_find(r, id), NOW_US));
+	assert_true(bh__registered_endpoint_accepts_requests(bh__registry_find(r, id), NOW_US));
 	bh__registry_delete(r);
 }
 
--- a/src/test_libbayhoist/test_signal_relay.c
+++ b/src/test_libbayhoist/test_signal_relay.c
@@ -386,8 +386,9 @@
 	w.incarnation = bh__registry_note_start(self->registry, e->endpoint_id);
 	w.end_us = f->now_us + LOAD_SERVICE_TIME_US * MAX(running / LOAD_SLOTS, 1u);
 	if ((rejects_all && index == 0) || running >= LOAD_SLOTS + LOAD_QUEUE) {
-		bh__registry_note_end(self->registry, e->endpoint_id, w.incarnation, BH__USE_REFUSED, f->now_us);
-		bh__registered_endpoint_hear_backoff(e, f->now_us + LOAD_BACKOFF_US);
+		bh__registry_note_end(self->registry, e->endpoint_id, w.incarnation, BH__ENDPOINT_OUTCOME_REFUSED,
+							  f->now_us);
+		bh__registered_endpoint_receive_backoff(e, f->now_us + LOAD_BACKOFF_US);
 		if (notifies)
 			bh__signal_relay_receive_overload(self->relay, e, f->now_us + LOAD_BACKOFF_US, f->now_us);
 		return false;
@@ -414,7 +415,7 @@
 			if (f->now_us < w->end_us)
 				continue;
 			bh__registry_note_end(((RelayNode *)f->node[w->node].user)->registry, endpoint_id_(w->endpoint),
-								  w->incarnation, BH__USE_SERVED, f->now_us);
+								  w->incarnation, BH__ENDPOINT_OUTCOME_SERVED, f->now_us);
 			g_array_remove_index_fast(requests, i);
 			load.served++;
 		}
@@ -505,7 +506,7 @@
 
 	for (unsigned i = 0; i < f->count; i++)
 		count += bh__registry_find(((RelayNode *)f->node[i].user)->registry, endpoint_id_(endpoint))
-					 ->signals.named.in_force;
+					 ->signals.advertised.in_force;
 	return count;
 }
 
--- a/test/platform/test_decode.c
+++ b/test/platform/test_decode.c
@@ -45,13 +45,13 @@
 	assert_non_null(r);
 	assert_int_equal(bh__routing_get_version(r), 7);
 	stream = bh__routing_match(r, "a.example", "/x/1");
-	assert_int_equal(stream->repeat, BH__REPEAT_RESUME);
+	assert_int_equal(stream->retry_mode, BH__RETRY_MODE_RESUME);
 	assert_true(stream->streams);
 	assert_int_equal(stream->target_count, 2);
 	assert_int_equal(stream->event_gap_ms, 200);
 	assert_int_equal(stream->target_ms, 300);
 	once = bh__routing_match(r, "a.example", "/y/1");
-	assert_int_equal(once->repeat, BH__REPEAT_NEVER);
+	assert_int_equal(once->retry_mode, BH__RETRY_MODE_NEVER);
 	assert_true(once->needs_no_key);
 	s = bh__routing_find_service(r, "llm");
 	assert_true(s->is_engine);
