--- a/src/bayhoist-gate/cluster.c
+++ b/src/bayhoist-gate/cluster.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The nodes' work together: membership follows from probes among the nodes, and messages go from one to
- * another. What they agree on about services is in schedulers.c. */
+/* Cooperation of the nodes: runs the membership protocol, in which nodes probe each other, and exchanges
+ * messages with other nodes. The scheduling of services is in schedulers.c. */
 #include "cluster_internal.h"
 
 #include <string.h>
@@ -10,11 +10,11 @@
 #include "log.h"
 
 #define MEMBERS_TICK_MS 100
-#define WAITING_TICK_MS 10 /* while asks wait in a planner */
-/* Changes of single nodes that are logged between two ticks. Where all of 295 nodes start at once each would
- * write a line for each other: 87,000 lines. */
+#define WAITING_TICK_MS 10 /* tick period while asks wait in a planner */
+/* Maximum number of changes of single members that are logged between two ticks. If 295 nodes start at the
+ * same time and each logs a line for every other node, they write 87,000 lines. */
 #define MEMBER_LINES_MAX 4
-#define CAPACITY_PER_MBPS 5 /* thousandths of a core that a Mbit/s goes with */
+#define CAPACITY_PER_MBPS 5 /* capacity, in thousandths of a core, for each Mbit/s of the link */
 
 static uint32_t capacity_(const GateSettings *s);
 static void members_send_(BH__MembersPort *port, const char *address, BH__Message *m);
@@ -27,9 +27,9 @@
 static void log_members_(Cluster *c);
 static void dispatch_(Cluster *c, const BH__Message *m);
 
-/* Returns what this node's VM has for duties: thousandths of a core, or what its network bears of them if
- * that is less. On the users' VMs a burst of asks fills a link of 20 Mbit/s before it fills 0.12 of a core;
- * 0.5 of a core goes with 100 Mbit/s. */
+/* Returns the capacity of this node's VM for duties, in thousandths of a core. The network link limits it: on
+ * the users' VMs a burst of asks saturates a link of 20 Mbit/s before it uses 0.12 of a core, and 100 Mbit/s
+ * correspond to 0.5 of a core. A setting of 0 means unknown and does not limit the capacity. */
 static uint32_t capacity_(const GateSettings *s)
 {
 	double by_link = s->link_mbps * CAPACITY_PER_MBPS;
@@ -40,7 +40,7 @@
 	return (uint32_t)MIN(by_core, by_link);
 }
 
-/* Starts membership and the connections to other nodes. */
+/* Starts membership and the connections to other nodes. Returns false if the connections cannot be set up. */
 bool cluster_start(Gate *g)
 {
 	Cluster *c = g_new0(Cluster, 1);
@@ -66,7 +66,7 @@
 	c->members = bh__members_new(&c->port, &self, (uint32_t)g->boot_id);
 	c->services = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, schedulers_free_service);
 	c->by_ask = g_hash_table_new(g_int64_hash, g_int64_equal);
-	c->homes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+	c->home_since = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g_queue_init(&c->inbox);
 	g_queue_init(&c->early);
 	c->signals = signals_new(c);
@@ -89,7 +89,7 @@
 	g_queue_clear_full(&c->early, g_free);
 	g_hash_table_unref(c->by_ask);
 	g_hash_table_unref(c->services);
-	g_hash_table_unref(c->homes);
+	g_hash_table_unref(c->home_since);
 	signals_delete(c->signals);
 	bh__members_delete(c->members);
 	g_free(c);
@@ -100,20 +100,20 @@
 	bh__members_add_seed(c->members, peer_address);
 }
 
-/* Greets the seeds at once. */
+/* Contacts the seeds at once, without waiting for the next tick. */
 void cluster_join(Cluster *c)
 {
 	bh__members_process_tick(c->members, clock_now_us());
 }
 
-/* Takes a node for alive that is recorded to do a duty. */
+/* Adds a node that the platform's record of duties names as a member, alive but unconfirmed. */
 void cluster_presume(Cluster *c, const BH__MemberInfo *info)
 {
 	bh__members_add_unconfirmed(c->members, info, clock_now_us());
-	schedulers_follow(c, clock_now_us());
+	schedulers_apply_membership(c, clock_now_us());
 }
 
-/* Returns true if a node that has not answered may still be starting: it is waited for. */
+/* Returns true if a node is unconfirmed and may still be starting, so that the caller waits for it. */
 bool cluster_awaits(Cluster *c, uint64_t node_id)
 {
 	return bh__members_await(c->members, node_id, clock_now_us());
@@ -124,13 +124,13 @@
 	return c->members;
 }
 
-/* The same, for what tells others more on its probes. */
+/* Returns the membership for modules that attach data to its probes and therefore modify it. */
 BH__Members *cluster_get_own_members(Cluster *c)
 {
 	return c->members;
 }
 
-/* Returns the number of nodes that take callers, this one included. */
+/* Returns the number of nodes that accept callers, this node included. It is at least 1. */
 unsigned cluster_count_nodes(const Cluster *c)
 {
 	unsigned count = 0;
@@ -140,6 +140,7 @@
 	return MAX(count, 1u);
 }
 
+/* Sends a membership message to the node at an address. */
 static void members_send_(BH__MembersPort *port, const char *address, BH__Message *m)
 {
 	Cluster *c = (Cluster *)port;
@@ -147,6 +148,8 @@
 	peers_send(c->peers, address, m);
 }
 
+/* Logs a change of a member, sends the current signals to a usable one, and removes a dead one from the
+ * planners. */
 static void members_changed_(BH__MembersPort *port, const BH__MemberInfo *info, BH__MemberState old)
 {
 	Cluster *c = (Cluster *)port;
@@ -158,7 +161,7 @@
 				  info->name, BH__MemberStateString[info->state], BH__MemberStateString[old],
 				  info->leaving ? "yes" : "no", info->boot_id);
 	if (bh__member_is_usable(info))
-		signals_tell_node(c->signals, info->node_id);
+		signals_notify_node(c->signals, info->node_id);
 	if (info->state != BH__MEMBER_DEAD || old == BH__MEMBER_DEAD)
 		return;
 	g_hash_table_iter_init(&it, c->services);
@@ -166,6 +169,7 @@
 		bh__planner_process_node_gone(((Service *)value)->planner, info->node_id, clock_now_us());
 }
 
+/* Processes a message from another node. Ignores one that names this node as its sender. */
 static void on_message_(void *cluster, const BH__Message *m)
 {
 	Cluster *c = cluster;
@@ -176,6 +180,7 @@
 	cluster_watch_waiting(c);
 }
 
+/* Notifies membership that the nodes at an address cannot be reached. */
 static void on_unreachable_(void *cluster, const char *address)
 {
 	Cluster *c = cluster;
@@ -185,10 +190,11 @@
 		if (!strcmp(info->peer_address, address))
 			bh__members_process_unreachable(c->members, info->node_id, clock_now_us());
 	}
-	schedulers_follow(c, clock_now_us());
+	schedulers_apply_membership(c, clock_now_us());
 	cluster_drain_inbox(c);
 }
 
+/* Runs the periodic work of all modules of the cluster. */
 static void on_tick_(evutil_socket_t fd, short what, void *arg)
 {
 	Cluster *c = arg;
@@ -204,23 +210,24 @@
 	bh__platform_sync_process_tick(looks_get(c->gate->looks), now_us);
 	gate_note_registry(c->gate, 0);
 	crashes_process_tick(c->gate->crashes, now_us);
-	schedulers_follow(c, now_us);
-	schedulers_follow_cold(c, now_us);
-	schedulers_follow_parts(c, now_us);
-	limits_follow(c, now_us);
+	schedulers_apply_membership(c, now_us);
+	schedulers_apply_cold_rates(c, now_us);
+	schedulers_apply_rate_shares(c, now_us);
+	limits_apply_membership(c, now_us);
 	signals_process_tick(c->signals);
 	g_hash_table_iter_init(&it, c->services);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
-		if (now_us >= ((Service *)value)->next_holds_us)
-			schedulers_tell_holds(c, value, now_us);
-		schedulers_record(value, now_us);
+		if (now_us >= ((Service *)value)->next_hold_us)
+			schedulers_send_holds(c, value, now_us);
+		schedulers_record_duty(value, now_us);
 	}
 	cluster_drain_inbox(c);
 	cluster_watch_waiting(c);
 	log_flush();
 }
 
-/* Logs what many changes of members have come to. */
+/* Logs a summary of the members' states if more members have changed since the last tick than are logged
+ * singly. */
 static void log_members_(Cluster *c)
 {
 	unsigned count[BH__MEMBER_STATE_COUNT] = {0};
@@ -234,7 +241,8 @@
 	c->member_changes = 0;
 }
 
-/* Sets whether callers are to be sent here. */
+/* Sets the state that this node publishes: whether it leaves, the version of its configuration (0 if it is
+ * not ready for callers), and its number of calls. */
 static void set_ready_(Cluster *c, bool ready)
 {
 	const Gate *g = c->gate;
@@ -244,7 +252,7 @@
 						 g_hash_table_size(g->calls));
 }
 
-/* Looks often while asks wait, and not at all otherwise. */
+/* Starts the short tick if asks wait here; it is not scheduled otherwise. */
 void cluster_watch_waiting(Cluster *c)
 {
 	struct timeval soon = {0, WAITING_TICK_MS * 1000};
@@ -261,6 +269,7 @@
 			evtimer_add(c->waiting_tick, &soon);
 }
 
+/* Gives the planners and the asks that wait another chance. */
 static void on_waiting_tick_(evutil_socket_t fd, short what, void *arg)
 {
 	Cluster *c = arg;
@@ -277,7 +286,8 @@
 	cluster_watch_waiting(c);
 }
 
-/* Sends a message to a node; one to this node waits in the inbox until the current work is done. */
+/* Sends a message to a node. A message to this node itself goes to the inbox, which is drained after the
+ * current work. A message to an unknown node is dropped. */
 void cluster_send(Cluster *c, uint64_t node_id, BH__Message *m)
 {
 	const BH__MemberInfo *self = bh__members_get_self(c->members);
@@ -291,31 +301,34 @@
 		peers_send(c->peers, info->peer_address, m);
 }
 
+/* Processes all messages in the inbox, including those that are added meanwhile. A nested call returns at
+ * once. */
 void cluster_drain_inbox(Cluster *c)
 {
 	BH__Message *m;
 
-	if (c->draining)
+	if (c->is_draining)
 		return;
-	c->draining = true;
+	c->is_draining = true;
 	while ((m = g_queue_pop_head(&c->inbox))) {
 		dispatch_(c, m);
 		g_free(m);
 	}
-	c->draining = false;
+	c->is_draining = false;
 }
 
+/* Routes a message to the module that processes its type. */
 static void dispatch_(Cluster *c, const BH__Message *m)
 {
 	uint64_t now_us = clock_now_us();
 
-	schedulers_hear(c, m->from_node);
+	schedulers_process_contact(c, m->from_node);
 	if (crashes_process_message(c->gate->crashes, m, now_us))
 		return;
 	if (signals_process_message(c->signals, m) || limits_process_message(c, m, now_us))
 		return;
 	if (bh__members_process_message(c->members, m, now_us)) {
-		schedulers_follow(c, now_us);
+		schedulers_apply_membership(c, now_us);
 		return;
 	}
 	switch (m->type) {
@@ -323,10 +336,10 @@
 		schedulers_process_ask(c, &m->as.ask, now_us);
 		break;
 	case BH__MESSAGE_GRANT:
-		schedulers_take_grant(c, &m->as.grant, m->from_node);
+		schedulers_process_grant(c, &m->as.grant, m->from_node);
 		break;
 	case BH__MESSAGE_REFUSE:
-		schedulers_take_refusal(c, m->as.refuse.ask_id, m->as.refuse.reason, m->as.refuse.retry_after_ms);
+		schedulers_process_refusal(c, m->as.refuse.ask_id, m->as.refuse.reason, m->as.refuse.retry_after_ms);
 		break;
 	case BH__MESSAGE_QUEUED: {
 		Call *call = g_hash_table_lookup(c->by_ask, &m->as.release.grant_id);
@@ -357,11 +370,12 @@
 	}
 }
 
-/* Tells the others that this node leaves, and gives up its duties. */
+/* Announces that this node leaves, after handing over its duties. */
 void cluster_leave(Cluster *c, uint64_t now_us)
 {
 	set_ready_(c, false);
-	schedulers_follow(c, now_us); /* what this node knows goes out before the others ask another */
+	/* Sends the grants to the next schedulers before other nodes send asks to these. */
+	schedulers_apply_membership(c, now_us);
 	bh__members_announce(c->members);
 	cluster_drain_inbox(c);
 }
--- a/src/bayhoist-gate/halls.c
+++ b/src/bayhoist-gate/halls.c
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What operators see of data halls that drain: a line of the log at each change, and metrics. */
+/* Reports data halls that drain to operators: a log line at each change, metrics, and a JSON document. */
 #include "gate.h"
 
 #include <json-c/json.h>
@@ -9,10 +9,10 @@
 
 static unsigned count_requests_(const Gate *g, const char *hall);
 
-/* Logs what has become known of halls since this was last called. */
+/* Logs the state of every known hall if the registry's halls have changed since the previous call. */
 void halls_follow(Gate *g)
 {
-	char place[BH__STORE_VERSION_TEXT_LEN];
+	char store_version[BH__STORE_VERSION_TEXT_LEN];
 
 	if (g->halls_seen == bh__registry_get_halls_version(g->registry))
 		return;
@@ -20,11 +20,11 @@
 	for (unsigned i = 0; i < bh__registry_get_hall_count(g->registry); i++) {
 		const BH__HallDrain *d = bh__registry_get_hall(g->registry, i);
 		log_event("hall", "hall=%s what=%s since=%s requests=%u", d->name, d->draining ? "drains" : "in-use",
-				  bh__store_version_write(d->changed, place), count_requests_(g, d->name));
+				  bh__store_version_write(d->changed, store_version), count_requests_(g, d->name));
 	}
 }
 
-/* Returns how many requests of this node run on endpoints of a hall. */
+/* Returns the number of this node's requests that run on endpoints of a hall. */
 static unsigned count_requests_(const Gate *g, const char *hall)
 {
 	unsigned count = 0;
@@ -37,7 +37,8 @@
 	return count;
 }
 
-/* Returns what operators are shown of halls, also of those that were drained and are in use again. */
+/* Returns a JSON description of the halls that have been drained, including those that are in use again. The
+ * caller frees it with json_object_put(). */
 struct json_object *halls_describe(const Gate *g)
 {
 	struct json_object *root = json_object_new_object();
@@ -60,7 +61,8 @@
 	return root;
 }
 
-/* Writes which halls drain, for how long this node has known, and what of its requests still runs there. */
+/* Writes, as metrics, whether each hall drains, how long this node has known its state, and how many of this
+ * node's requests still run there. */
 void halls_write_status(const Gate *g, struct evbuffer *out)
 {
 	uint64_t now_us = clock_now_us();
--- a/src/bayhoist-gate/limits.c
+++ b/src/bayhoist-gate/limits.c
@@ -1,21 +1,23 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Limits of endpoints among the nodes (bayhoist/endpoint_rate.h). What answers say of them goes to the
- * endpoint's home, and from there to all. The home of an engine is its scheduler, whose grants count; before
- * a request goes to another endpoint that is limited, its home is asked for leave. */
+/* Enforces rate limits of endpoints across the nodes (bayhoist/endpoint_rate.h). A node reports the limits
+ * that answers advertise to the endpoint's home node, which broadcasts them. The home of an engine is its
+ * scheduler, whose grants count against the limit. Before a node sends a request to a rate-limited endpoint
+ * that is not an engine, it asks the home for a permit. */
 #include <string.h>
 #include "bayhoist/hash.h"
 #include "clock.h"
 #include "cluster_internal.h"
 #include "log.h"
 
-/* When a node may ask again that took another for home than that one itself. */
-#define OTHER_HOME_WAIT_US (100 * BH__MS_US)
+/* Wait before a node repeats a permit request that went to a node which does not know the endpoint or does
+ * not consider itself its home. */
+#define HOME_MISMATCH_RETRY_US (100 * BH__MS_US)
 
 static bool is_home_(const Cluster *c, const char *service);
-static double home_part_(const Cluster *c, const char *service, uint64_t now_us);
+static double home_rate_share_(const Cluster *c, const char *service, uint64_t now_us);
 static void process_ask_(Cluster *c, const BH__Message *m, uint64_t now_us);
 
-/* Returns the node that counts for the endpoints of a service. */
+/* Returns the home node of a service, which counts requests against the limits of the service's endpoints. */
 uint64_t limits_find_home(const Cluster *c, const char *service)
 {
 	const Service *s = g_hash_table_lookup(c->services, service);
@@ -24,13 +26,15 @@
 	return node_id ? node_id : bh__members_get_self(c->members)->node_id;
 }
 
+/* Returns true if this node is the home of a service. */
 static bool is_home_(const Cluster *c, const char *service)
 {
 	return limits_find_home(c, service) == bh__members_get_self(c->members)->node_id;
 }
 
-/* Returns the part of its endpoints' limits that this node counts for as home of a service since a time. */
-double limits_get_part(const Cluster *c, uint64_t since_us, uint64_t now_us)
+/* Returns the share of its endpoints' rate limits, 0 to 1, that this node may grant as the home of a service
+ * since `since_us`. */
+double limits_get_rate_share(const Cluster *c, uint64_t since_us, uint64_t now_us)
 {
 	unsigned alive = cluster_count_nodes(c);
 	unsigned known = alive;
@@ -42,39 +46,40 @@
 	return bh__home_part(alive, known, since_us, now_us);
 }
 
-/* The same for a service that nobody schedules; 0 if this node is not its home. */
-static double home_part_(const Cluster *c, const char *service, uint64_t now_us)
+/* Returns the rate share of this node for a service that is not scheduled; 0 if this node is not its home. */
+static double home_rate_share_(const Cluster *c, const char *service, uint64_t now_us)
 {
-	const uint64_t *since_us = g_hash_table_lookup(c->homes, service);
+	const uint64_t *since_us = g_hash_table_lookup(c->home_since, service);
 
-	return since_us ? limits_get_part(c, *since_us, now_us) : 0;
+	return since_us ? limits_get_rate_share(c, *since_us, now_us) : 0;
 }
 
-/* Follows membership and the configuration: since when this node is home of which service. */
-void limits_follow(Cluster *c, uint64_t now_us)
+/* Updates the set of unscheduled services whose home is this node after a change of membership or
+ * configuration. */
+void limits_apply_membership(Cluster *c, uint64_t now_us)
 {
 	const BH__Routing *r = c->gate->routing;
 
-	if (!r || (c->homes_members == bh__members_get_version(c->members) &&
-			   c->homes_routing == bh__routing_get_version(r)))
+	if (!r || (c->home_members_version == bh__members_get_version(c->members) &&
+			   c->home_routing_version == bh__routing_get_version(r)))
 		return;
-	c->homes_members = bh__members_get_version(c->members);
-	c->homes_routing = bh__routing_get_version(r);
+	c->home_members_version = bh__members_get_version(c->members);
+	c->home_routing_version = bh__routing_get_version(r);
 	for (unsigned i = 0; i < bh__routing_get_service_count(r); i++) {
 		const BH__ServiceSpec *spec = bh__routing_get_service(r, i);
 		if (spec->is_engine || !is_home_(c, spec->name)) {
-			g_hash_table_remove(c->homes, spec->name);
+			g_hash_table_remove(c->home_since, spec->name);
 		}
-		else if (!g_hash_table_contains(c->homes, spec->name)) {
+		else if (!g_hash_table_contains(c->home_since, spec->name)) {
 			uint64_t *since_us = g_new(uint64_t, 1);
 			*since_us = now_us;
-			g_hash_table_insert(c->homes, g_strdup(spec->name), since_us);
+			g_hash_table_insert(c->home_since, g_strdup(spec->name), since_us);
 		}
 	}
 }
 
-/* Asks the home of a call's endpoint for leave to send to it, within `max_wait_us`. The answer comes to
- * call.c, maybe before this returns. */
+/* Asks the home of an endpoint for a permit to send a call to it, to be granted within `max_wait_us`. The
+ * answer goes to call_on_permit(), possibly before this function returns. */
 void cluster_ask_permit(Cluster *c, Call *call, const BH__RegisteredEndpoint *e, uint64_t max_wait_us)
 {
 	const BH__MemberInfo *self = bh__members_get_self(c->members);
@@ -82,7 +87,7 @@
 	BH__Message m = {.type = BH__MESSAGE_PERMIT_ASK};
 
 	cluster_drop_ask(c, call);
-	p->ask.ask_id = bh__hash_pair(self->boot_id, ++c->next_id);
+	p->ask.ask_id = bh__hash_pair(self->boot_id, ++c->last_id);
 	p->asked_node = limits_find_home(c, e->entry.service);
 	g_hash_table_insert(c->by_ask, &p->ask.ask_id, call);
 	m.as.permit_ask.ask_id = p->ask.ask_id;
@@ -92,27 +97,28 @@
 	cluster_drain_inbox(c);
 }
 
-/* A node asks for leave to send. It may know of a limit of which this one does not. */
+/* Answers a node's permit request, after merging the limit that it carries, which this node may not have
+ * received yet. */
 static void process_ask_(Cluster *c, const BH__Message *m, uint64_t now_us)
 {
-	const BH__SignalUpdate *n = &m->as.permit_ask.limit;
-	BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, n->endpoint_id);
+	const BH__SignalUpdate *update = &m->as.permit_ask.limit;
+	BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, update->endpoint_id);
 	BH__Message out = {.type = BH__MESSAGE_PERMIT};
 
-	if (n->in_force)
-		bh__signal_relay_merge(c->signals->relay, n, now_us);
+	if (update->in_force)
+		bh__signal_relay_merge(c->signals->relay, update, now_us);
 	out.as.permit.ask_id = m->as.permit_ask.ask_id;
 	if (e) {
-		bh__endpoint_rate_set_part(&e->rate, home_part_(c, e->entry.service, now_us), now_us);
+		bh__endpoint_rate_set_part(&e->rate, home_rate_share_(c, e->entry.service, now_us), now_us);
 		out.as.permit.granted =
 			bh__endpoint_rate_promise(&e->rate, m->as.permit_ask.max_wait_us, now_us, &out.as.permit.wait_us);
 	}
 	if (!e || out.as.permit.wait_us == BH__LIMIT_NO_END)
-		out.as.permit.wait_us = OTHER_HOME_WAIT_US;
+		out.as.permit.wait_us = HOME_MISMATCH_RETRY_US;
 	cluster_send(c, m->from_node, &out);
 }
 
-/* Takes a message that has to do with limits. Returns false if it is another. */
+/* Processes a permit request or its answer. Returns false if the message is of another type. */
 bool limits_process_message(Cluster *c, const BH__Message *m, uint64_t now_us)
 {
 	Call *call;
@@ -134,7 +140,7 @@
 	}
 }
 
-/* Writes the limits that are in force, as metrics. */
+/* Writes, as metrics, the endpoint rate limits that are in force. */
 void limits_write_status(const Cluster *c, struct evbuffer *out)
 {
 	uint64_t now_us = clock_now_us();
--- a/src/bayhoist-gate/platform_sync.c
+++ b/src/bayhoist-gate/platform_sync.c
@@ -1,53 +1,53 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The gateway's port for what nodes learn of the platform from each other (bayhoist/looks.h), and its log
- * lines. */
+/* The gateway's port for platform sync, by which nodes share the platform's state (bayhoist/platform_sync.h),
+ * with its log lines and metrics. */
 #include "gate.h"
 
 #include <string.h>
 #include "clock.h"
 #include "log.h"
 
-#define NAMED_MAX                                                                                            \
-	4u /* endpoints that a line of the log names, of those that changed and of those that went */
+#define LOGGED_ENDPOINTS_MAX                                                                                 \
+	4u /* endpoints that a log line names, for changed endpoints and for removed endpoints each */
 
-/* Of the reads that the store bears, looks of all nodes together while it is away: 20 a second where it bears
- * 2,000. */
-#define AWAY_LOOKS_SHARE 0.01
+/* Fraction of the store's read capacity that all nodes together use for platform reads while the store is
+ * unavailable: 20 reads/s for a store with a capacity of 2,000 reads/s. */
+#define UNAVAILABLE_READS_SHARE 0.01
 
 struct Looks {
-	BH__PlatformSyncPort port; /* first: the library hands it back */
+	BH__PlatformSyncPort port; /* first member: callbacks cast it to the enclosing structure */
 	Gate *gate;
-	BH__PlatformSync *looks;
+	BH__PlatformSync *sync;
 };
 
 static BH__PlatformSyncOptions options_(const Gate *g);
 static void send_(BH__PlatformSyncPort *port, uint64_t node_id, BH__Message *m);
-static void look_at_configuration_(BH__PlatformSyncPort *port);
-static void look_at_endpoints_(BH__PlatformSyncPort *port, uint64_t limit_us);
-static bool look_at_endpoints_again_(BH__PlatformSyncPort *port);
+static void read_configuration_(BH__PlatformSyncPort *port);
+static void read_endpoints_(BH__PlatformSyncPort *port, uint64_t limit_us);
+static bool resend_endpoints_read_(BH__PlatformSyncPort *port);
 static void watch_configuration_(BH__PlatformSyncPort *port, bool wanted);
 static BH__PlatformSyncConfiguration get_configuration_(BH__PlatformSyncPort *port);
 static const char *get_configuration_text_(BH__PlatformSyncPort *port);
 static bool take_configuration_(BH__PlatformSyncPort *port, const char *text, uint64_t platform_read_us);
 static void confirm_configuration_(BH__PlatformSyncPort *port, uint64_t platform_read_us);
-static void learnt_(BH__PlatformSyncPort *port);
-static void said_(BH__PlatformSyncPort *port, BH__PlatformSyncEvent event, uint64_t node_id);
-static void was_told_(BH__PlatformSyncPort *port, const BH__Message *m, unsigned was_count);
+static void on_merged_(BH__PlatformSyncPort *port);
+static void report_event_(BH__PlatformSyncPort *port, BH__PlatformSyncEvent event, uint64_t node_id);
+static void report_received_(BH__PlatformSyncPort *port, const BH__Message *m, unsigned old_count);
 
 static const BH__PlatformSyncPort Port_ = {.send = send_,
-										   .read_configuration = look_at_configuration_,
-										   .read_endpoints = look_at_endpoints_,
-										   .resend_endpoints_read = look_at_endpoints_again_,
+										   .read_configuration = read_configuration_,
+										   .read_endpoints = read_endpoints_,
+										   .resend_endpoints_read = resend_endpoints_read_,
 										   .watch_configuration = watch_configuration_,
 										   .get_configuration = get_configuration_,
 										   .get_configuration_text = get_configuration_text_,
 										   .take_configuration = take_configuration_,
 										   .confirm_configuration = confirm_configuration_,
-										   .merged = learnt_,
-										   .report_event = said_,
-										   .report_received = was_told_};
+										   .merged = on_merged_,
+										   .report_event = report_event_,
+										   .report_received = report_received_};
 
-/* The cluster must have been started. */
+/* Creates the platform sync of a gateway. The cluster must have been started. */
 Looks *looks_new(Gate *g)
 {
 	Looks *l = g_new0(Looks, 1);
@@ -55,7 +55,7 @@
 
 	l->port = Port_;
 	l->gate = g;
-	l->looks = bh__platform_sync_new(&l->port, &options, cluster_get_members(g->cluster), g->registry);
+	l->sync = bh__platform_sync_new(&l->port, &options, cluster_get_members(g->cluster), g->registry);
 	return l;
 }
 
@@ -63,29 +63,30 @@
 {
 	if (!l)
 		return;
-	bh__platform_sync_delete(l->looks);
+	bh__platform_sync_delete(l->sync);
 	g_free(l);
 }
 
 BH__PlatformSync *looks_get(const Looks *l)
 {
-	return l->looks;
+	return l->sync;
 }
 
-/* Takes settings that have changed. */
+/* Applies changed settings of the gateway. */
 void looks_follow_settings(Looks *l)
 {
 	BH__PlatformSyncOptions options = options_(l->gate);
 
-	bh__platform_sync_set_options(l->looks, &options);
+	bh__platform_sync_set_options(l->sync, &options);
 }
 
+/* Returns the options of platform sync for the gateway's settings. */
 static BH__PlatformSyncOptions options_(const Gate *g)
 {
 	return (BH__PlatformSyncOptions){.endpoint_drain_ms = g->settings.endpoint_drain_ms,
 									 .configuration_ms = g->settings.configuration_ms,
 									 .unavailable_reads_per_s =
-										 MAX(g->settings.store_reads_per_s * AWAY_LOOKS_SHARE, 1.0),
+										 MAX(g->settings.store_reads_per_s * UNAVAILABLE_READS_SHARE, 1.0),
 									 .random_seed = g->boot_id};
 }
 
@@ -99,17 +100,17 @@
 	cluster_send(gate_(port)->cluster, node_id, m);
 }
 
-static void look_at_configuration_(BH__PlatformSyncPort *port)
+static void read_configuration_(BH__PlatformSyncPort *port)
 {
 	gate_(port)->port->read_configuration(gate_(port));
 }
 
-static void look_at_endpoints_(BH__PlatformSyncPort *port, uint64_t limit_us)
+static void read_endpoints_(BH__PlatformSyncPort *port, uint64_t limit_us)
 {
 	gate_(port)->port->read_endpoints(gate_(port), limit_us);
 }
 
-static bool look_at_endpoints_again_(BH__PlatformSyncPort *port)
+static bool resend_endpoints_read_(BH__PlatformSyncPort *port)
 {
 	return gate_(port)->port->resend_endpoints_read(gate_(port));
 }
@@ -119,6 +120,7 @@
 	gate_(port)->port->watch_configuration(gate_(port), wanted);
 }
 
+/* Returns the version of the configuration that is in use, 0 if there is none, and when it was last read. */
 static BH__PlatformSyncConfiguration get_configuration_(BH__PlatformSyncPort *port)
 {
 	const Gate *g = gate_(port);
@@ -143,12 +145,14 @@
 	gate_note_look(gate_(port), platform_read_us);
 }
 
-static void learnt_(BH__PlatformSyncPort *port)
+/* Applies registry changes that were merged from another node. */
+static void on_merged_(BH__PlatformSyncPort *port)
 {
 	gate_note_registry(gate_(port), 0);
 }
 
-static void said_(BH__PlatformSyncPort *port, BH__PlatformSyncEvent event, uint64_t node_id)
+/* Logs an event of platform sync and the node that it concerns. */
+static void report_event_(BH__PlatformSyncPort *port, BH__PlatformSyncEvent event, uint64_t node_id)
 {
 	const Gate *g = gate_(port);
 	const BH__MemberInfo *info = bh__members_find(cluster_get_members(g->cluster), node_id);
@@ -157,10 +161,11 @@
 			  bh__members_get_count(cluster_get_members(g->cluster)));
 }
 
-/* Writes how old what the node knows is, which place in the store's history it shows, and whom it asks. */
+/* Writes, as metrics, the age and the store version of this node's endpoint table, for how long it has been
+ * out of sync, when it next reads the platform itself, and its sync source. */
 void looks_write_status(const Looks *l, struct evbuffer *out)
 {
-	BH__PlatformSyncStatus s = bh__platform_sync_get_status(l->looks);
+	BH__PlatformSyncStatus s = bh__platform_sync_get_status(l->sync);
 	const BH__MemberInfo *info = bh__members_find(cluster_get_members(l->gate->cluster), s.source_node);
 	uint64_t now_us = clock_now_us();
 	const struct {
@@ -178,9 +183,10 @@
 	evbuffer_add_printf(out, "bayhoist_asks{node=\"%s\"} 1\n", info ? info->name : "");
 }
 
-/* Says what a source told of endpoints, and how many of these this node did not know. The first few that
- * changed are named, unless the whole table was told. */
-static void was_told_(BH__PlatformSyncPort *port, const BH__Message *m, unsigned was_count)
+/* Logs an endpoint update from a sync source, and the number of endpoints that this node knew before. The
+ * line names the first few removed endpoints and, unless the update holds the complete table, the first few
+ * changed ones. */
+static void report_received_(BH__PlatformSyncPort *port, const BH__Message *m, unsigned old_count)
 {
 	const Gate *g = gate_(port);
 	const BH__MemberInfo *info = bh__members_find(cluster_get_members(g->cluster), m->from_node);
@@ -188,10 +194,10 @@
 	uint64_t now_us = clock_now_us();
 	char store_version[BH__STORE_VERSION_TEXT_LEN];
 
-	for (uint32_t i = 0; !m->as.sync.is_complete && i < MIN(m->as.sync.count, NAMED_MAX); i++)
+	for (uint32_t i = 0; !m->as.sync.is_complete && i < MIN(m->as.sync.count, LOGGED_ENDPOINTS_MAX); i++)
 		g_string_append_printf(names, "%s%s:%s", i ? "," : "", m->as.sync.fact[i].entry.id,
 							   m->as.sync.fact[i].entry.draining ? "draining" : "ready");
-	for (uint32_t i = 0; i < MIN(m->as.sync.gone_count, NAMED_MAX); i++) {
+	for (uint32_t i = 0; i < MIN(m->as.sync.gone_count, LOGGED_ENDPOINTS_MAX); i++) {
 		const BH__RegisteredEndpoint *e = bh__registry_find(g->registry, m->as.sync.gone[i].endpoint_id);
 		if (e)
 			g_string_append_printf(names, "%s%s:gone", names->len ? "," : "", e->entry.id);
@@ -201,8 +207,7 @@
 			  " knew=%u age_ms=%" G_GUINT64_FORMAT " named=%s",
 			  info ? info->name : "", m->as.sync.count, m->as.sync.gone_count,
 			  m->as.sync.is_complete ? "yes" : "no",
-			  bh__store_version_write(m->as.sync.store_version, store_version), was_count,
-			  (now_us - MIN(now_us, bh__platform_sync_get_as_of_us(g->looks->looks))) / BH__MS_US,
-			  names->str);
+			  bh__store_version_write(m->as.sync.store_version, store_version), old_count,
+			  (now_us - MIN(now_us, bh__platform_sync_get_as_of_us(g->looks->sync))) / BH__MS_US, names->str);
 	g_string_free(names, TRUE);
 }
--- a/src/bayhoist-gate/schedulers.c
+++ b/src/bayhoist-gate/schedulers.c
@@ -1,26 +1,27 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The schedulers of services. Each service with engines is scheduled by the node with the highest rendezvous
- * weight for it. A node asks that one where a request is to go, tells it of first events and ends, and
- * decides alone when it does not answer. Every node has a planner for each service, which knows what the node
- * itself uses; the scheduler's knows what all use. */
+/* Schedulers of services. The node with the highest rendezvous weight for a service with engines schedules
+ * it. The other nodes ask this scheduler on which engines to run a request, notify it of first events and
+ * ends, and decide by themselves if it does not answer. Every node has a planner for each service. It tracks
+ * the engine use of its own node, and on the scheduler that of all nodes. */
 #include <string.h>
 #include "bayhoist/hash.h"
 #include "clock.h"
 #include "cluster_internal.h"
 #include "log.h"
 
-#define HOLDS_PERIOD_US (2 * BH__SECOND_US)
-/* A node that has scheduled a service for so long records that: while nodes start, the duty moves. */
+#define HOLD_PERIOD_US (2 * BH__SECOND_US) /* period of the hold messages to a scheduler */
+/* Time for which a node must have scheduled a service before it records the duty on the platform. The duty
+ * moves from node to node while nodes start. */
 #define RECORD_AFTER_US BH__SECOND_US
 
 static Service *add_service_(Cluster *c, const char *name);
 static void set_engine_(Service *s, const BH__RegisteredEndpoint *e, uint64_t now_us);
-static void move_asks_(Cluster *c, const Service *s);
+static void reassign_asks_(Cluster *c, const Service *s);
 static void hand_over_(Cluster *c, Service *s, uint64_t now_us);
 static void send_hold_(Cluster *c, const Service *s, GArray *grants, bool full, bool is_complete);
 static void on_recorded_(void *service, bool recorded);
-static void note_unanswered_(Cluster *c, Service *s, uint64_t node_id);
-static void tell_(Cluster *c, Call *call, BH__Message *m);
+static void record_unanswered_(Cluster *c, Service *s, uint64_t node_id);
+static void notify_nodes_(Cluster *c, Call *call, BH__Message *m);
 
 /* Returns the service whose planner has this id, or NULL. */
 Service *schedulers_find(const Cluster *c, uint64_t pool_id)
@@ -35,12 +36,13 @@
 	return NULL;
 }
 
-/* Returns true if a service has engines, which a scheduler grants. */
+/* Returns true if a service has engines, so that a scheduler grants them. */
 bool schedulers_has_service(const Cluster *c, const char *service)
 {
 	return g_hash_table_contains(c->services, service);
 }
 
+/* Returns the service of this name. Creates it with an empty planner if there is none. */
 static Service *add_service_(Cluster *c, const char *name)
 {
 	Service *s = g_hash_table_lookup(c->services, name);
@@ -57,6 +59,7 @@
 	return s;
 }
 
+/* Frees a Service, as the destroy function of the table of services. */
 void schedulers_free_service(gpointer service)
 {
 	Service *s = service;
@@ -66,8 +69,8 @@
 	g_free(s);
 }
 
-/* A node was heard from. */
-void schedulers_hear(Cluster *c, uint64_t node_id)
+/* Resets the response monitors of the services that a node schedules, after any message from this node. */
+void schedulers_process_contact(Cluster *c, uint64_t node_id)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -78,7 +81,7 @@
 			bh__response_monitor_reset(&((Service *)value)->scheduler_monitor);
 }
 
-/* Follows the configuration: each service with engines has a planner. */
+/* Applies the configuration: creates a planner for each service with engines and sets its model. */
 void cluster_follow_routing(Cluster *c, uint64_t now_us)
 {
 	const BH__Routing *r = c->gate->routing;
@@ -89,10 +92,11 @@
 			bh__planner_set_model(add_service_(c, spec->name)->planner, &spec->engine);
 	}
 	cluster_follow_registry(c, now_us);
-	schedulers_follow(c, now_us);
+	schedulers_apply_membership(c, now_us);
 }
 
-/* Sets an engine of a planner to what is registered. What limits it comes before that it may be used. */
+/* Sets a planner's engine to the state of a registered endpoint. Sets the limits first, so that the engine is
+ * not used without them. */
 static void set_engine_(Service *s, const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	bh__planner_set_limits(s->planner, e->endpoint_id, e->rate.limit, now_us);
@@ -100,8 +104,8 @@
 							 !bh__registered_endpoint_is_usable(e, now_us), now_us);
 }
 
-/* An engine's limits have changed: its planner follows. */
-void schedulers_follow_limits(Cluster *c, const BH__RegisteredEndpoint *e)
+/* Applies changed rate limits of an engine to its planner. */
+void schedulers_apply_limits(Cluster *c, const BH__RegisteredEndpoint *e)
 {
 	Service *s = g_hash_table_lookup(c->services, e->entry.service);
 
@@ -109,8 +113,8 @@
 		bh__planner_set_limits(s->planner, e->endpoint_id, e->rate.limit, clock_now_us());
 }
 
-/* Sets what endpoints bear that are cold. */
-void schedulers_follow_cold(Cluster *c, uint64_t now_us)
+/* Sets the rate limit of cold endpoints of each service to the configured one. */
+void schedulers_apply_cold_rates(Cluster *c, uint64_t now_us)
 {
 	const BH__Routing *r = c->gate->routing;
 
@@ -120,9 +124,10 @@
 	}
 }
 
-/* Sets the part of their engines' limits that planners count for: all if this node schedules the service and
- * none otherwise, so that nodes which decide alone send nothing to engines that are limited. */
-void schedulers_follow_parts(Cluster *c, uint64_t now_us)
+/* Sets the share of the engines' rate limits that each planner enforces: that of the home if this node
+ * schedules the service and 0 otherwise, so that nodes which decide by themselves send nothing to
+ * rate-limited engines. */
+void schedulers_apply_rate_shares(Cluster *c, uint64_t now_us)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -130,19 +135,20 @@
 	g_hash_table_iter_init(&it, c->services);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		Service *s = value;
-		bh__planner_set_rate_share(s->planner,
-								   s->schedules_us ? limits_get_part(c, s->schedules_us, now_us) : 0, now_us);
+		bh__planner_set_rate_share(
+			s->planner, s->scheduling_since_us ? limits_get_rate_share(c, s->scheduling_since_us, now_us) : 0,
+			now_us);
 	}
 }
 
-/* Sets each planner's engines to the registered ones. */
+/* Sets the engines of each planner to the registered endpoints of its service. */
 void cluster_follow_registry(Cluster *c, uint64_t now_us)
 {
 	BH__Registry *registry = c->gate->registry;
 	GHashTableIter it;
 	gpointer value;
 
-	schedulers_follow_cold(c, now_us);
+	schedulers_apply_cold_rates(c, now_us);
 	g_hash_table_iter_init(&it, c->services);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		Service *s = value;
@@ -161,8 +167,9 @@
 	cluster_drain_inbox(c);
 }
 
-/* Follows membership: which node schedules each service. */
-void schedulers_follow(Cluster *c, uint64_t now_us)
+/* Chooses the scheduler of each service from the current members. If this node stops scheduling a service, it
+ * hands over the grants and refuses the asks that wait. If it starts, it begins a takeover. */
+void schedulers_apply_membership(Cluster *c, uint64_t now_us)
 {
 	const BH__MemberInfo *self = bh__members_get_self(c->members);
 	GHashTableIter it;
@@ -171,52 +178,53 @@
 	g_hash_table_iter_init(&it, c->services);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		Service *s = value;
-		uint64_t was = s->scheduler;
+		uint64_t old_scheduler = s->scheduler;
 		const BH__MemberInfo *info;
-		if (c->members_seen == bh__members_get_version(c->members) && was)
+		if (c->scheduler_members_version == bh__members_get_version(c->members) && old_scheduler)
 			continue;
 		s->scheduler = bh__members_pick(c->members, bh__planner_get_id(s->planner), NULL);
 		if (!s->scheduler)
 			s->scheduler = self->node_id;
 		info = bh__members_find(c->members, s->scheduler);
-		if (s->scheduler == was && info && info->boot_id == s->scheduler_boot)
+		if (s->scheduler == old_scheduler && info && info->boot_id == s->scheduler_boot)
 			continue;
 		log_event("scheduler", "service=%s node=%s", s->service, info ? info->name : self->name);
-		if (was == self->node_id && s->scheduler != was) {
+		if (old_scheduler == self->node_id && s->scheduler != old_scheduler) {
 			hand_over_(c, s, now_us);
 			bh__planner_refuse_all(s->planner, BH__REASON_NODE_LEAVING);
 			bh__planner_drop_other_nodes(s->planner, self->node_id, now_us);
 		}
-		s->schedules_us = s->scheduler == self->node_id ? now_us : 0;
-		s->recorded = false;
+		s->scheduling_since_us = s->scheduler == self->node_id ? now_us : 0;
+		s->is_recorded = false;
 		if (s->scheduler == self->node_id)
 			bh__takeover_begin(&s->takeover, now_us);
 		else
 			bh__takeover_end(&s->takeover);
 		bh__response_monitor_reset(&s->scheduler_monitor);
 		bh__planner_set_local(s->planner, s->scheduler != self->node_id);
-		schedulers_tell_holds(c, s, now_us);
-		if (was && s->scheduler != was)
-			move_asks_(c, s);
+		schedulers_send_holds(c, s, now_us);
+		if (old_scheduler && s->scheduler != old_scheduler)
+			reassign_asks_(c, s);
 	}
-	if (c->members_seen != bh__members_get_version(c->members))
-		schedulers_follow_parts(c, now_us);
-	c->members_seen = bh__members_get_version(c->members);
+	if (c->scheduler_members_version != bh__members_get_version(c->members))
+		schedulers_apply_rate_shares(c, now_us);
+	c->scheduler_members_version = bh__members_get_version(c->members);
 }
 
-/* Records on the platform that this node schedules a service, if it has done so for a while. */
-void schedulers_record(Service *s, uint64_t now_us)
+/* Records on the platform that this node schedules a service, once it has done so for RECORD_AFTER_US. */
+void schedulers_record_duty(Service *s, uint64_t now_us)
 {
 	Gate *g = s->cluster->gate;
 
-	if (!s->schedules_us || s->recorded || now_us < s->schedules_us + RECORD_AFTER_US || g->leaving_since_us)
+	if (!s->scheduling_since_us || s->is_recorded || now_us < s->scheduling_since_us + RECORD_AFTER_US ||
+		g->leaving_since_us)
 		return;
-	s->recorded = true;
+	s->is_recorded = true;
 	g->port->record_duty(g, s->service, bh__members_get_self(s->cluster->members), on_recorded_, s);
 }
 
-/* The platform's store has gone back to a copy: who schedules what is recorded anew, each by its scheduler.
- */
+/* Makes this node record its duties again after the platform's store has been rolled back to an older
+ * copy. */
 void cluster_follow_era(Cluster *c)
 {
 	GHashTableIter it;
@@ -224,20 +232,22 @@
 
 	g_hash_table_iter_init(&it, c->services);
 	while (g_hash_table_iter_next(&it, NULL, &value))
-		((Service *)value)->recorded = false;
+		((Service *)value)->is_recorded = false;
 }
 
+/* Processes the result of a write of the duty. After a failure the write is repeated when RECORD_AFTER_US
+ * have passed again. */
 static void on_recorded_(void *service, bool recorded)
 {
 	Service *s = service;
 
-	s->recorded = recorded;
-	if (!recorded && s->schedules_us) /* tried again later */
-		s->schedules_us = clock_now_us();
+	s->is_recorded = recorded;
+	if (!recorded && s->scheduling_since_us)
+		s->scheduling_since_us = clock_now_us();
 }
 
-/* Asks that are out go to the scheduler of now. */
-static void move_asks_(Cluster *c, const Service *s)
+/* Makes the calls with a pending ask at another node than the current scheduler ask the current one. */
+static void reassign_asks_(Cluster *c, const Service *s)
 {
 	GList *all = g_hash_table_get_values(c->by_ask);
 
@@ -250,7 +260,7 @@
 	g_list_free(all);
 }
 
-/* Tells the scheduler that follows this node all that it knows. */
+/* Sends all grants that this node knows of to the next scheduler. */
 static void hand_over_(Cluster *c, Service *s, uint64_t now_us)
 {
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(BH__Grant));
@@ -261,6 +271,8 @@
 	g_array_unref(all);
 }
 
+/* Sends a list of grants to a service's scheduler: complete grants with `full`, otherwise their ids; with
+ * `is_complete` those of all nodes. */
 static void send_hold_(Cluster *c, const Service *s, GArray *grants, bool full, bool is_complete)
 {
 	BH__Message m = {.type = BH__MESSAGE_HOLD};
@@ -273,9 +285,9 @@
 	cluster_send(c, s->scheduler, &m);
 }
 
-/* Tells a service's scheduler which grants this node holds: whole ones to a scheduler that is new to it, also
- * that there are none. */
-void schedulers_tell_holds(Cluster *c, Service *s, uint64_t now_us)
+/* Notifies a service's scheduler of the grants that this node holds. A scheduler that has not received them
+ * before gets complete grants, and also an empty list. */
+void schedulers_send_holds(Cluster *c, Service *s, uint64_t now_us)
 {
 	const BH__MemberInfo *info = bh__members_find(c->members, s->scheduler);
 	bool is_new = info && info->boot_id != s->scheduler_boot;
@@ -283,7 +295,7 @@
 	GHashTableIter it;
 	gpointer key;
 
-	s->next_holds_us = now_us + HOLDS_PERIOD_US;
+	s->next_hold_us = now_us + HOLD_PERIOD_US;
 	g_hash_table_iter_init(&it, c->gate->calls);
 	while (g_hash_table_iter_next(&it, &key, NULL)) {
 		const CallPlace *p = call_get_place(key);
@@ -293,13 +305,14 @@
 			g_array_append_val(held, g);
 	}
 	s->scheduler_boot = info ? info->boot_id : bh__members_get_self(c->members)->boot_id;
-	if (info && s->scheduler != bh__members_get_self(c->members)->node_id && (held->len || s->held || is_new))
+	if (info && s->scheduler != bh__members_get_self(c->members)->node_id &&
+		(held->len || s->had_grants || is_new))
 		send_hold_(c, s, held, is_new, false);
-	s->held = held->len > 0;
+	s->had_grants = held->len > 0;
 	g_array_unref(held);
 }
 
-/* A node tells what it holds, or the scheduler of before what all hold. */
+/* Processes a hold message: a node's own grants, or those of all nodes from the previous scheduler. */
 void schedulers_process_hold(Cluster *c, const BH__Message *m, uint64_t now_us)
 {
 	Service *s = schedulers_find(c, m->as.hold.pool_id);
@@ -312,8 +325,8 @@
 	schedulers_process_early(c, now_us);
 }
 
-/* Asks the scheduler of the call's service where it is to go. The answer comes to call.c, maybe before this
- * returns. */
+/* Asks the scheduler of a call's service for engines. The answer goes to the call_on_ functions of call.c,
+ * possibly before this function returns. */
 void cluster_ask(Cluster *c, Call *call)
 {
 	CallPlace *p = call_get_place(call);
@@ -321,7 +334,7 @@
 	Service *s = add_service_(c, p->service);
 
 	cluster_drop_ask(c, call);
-	p->ask.ask_id = bh__hash_pair(self->boot_id, ++c->next_id);
+	p->ask.ask_id = bh__hash_pair(self->boot_id, ++c->last_id);
 	p->ask.pool_id = bh__planner_get_id(s->planner);
 	p->ask.node_id = self->node_id;
 	p->ask.boot_id = self->boot_id;
@@ -330,7 +343,7 @@
 	cluster_ask_again(c, call);
 }
 
-/* Sends the ask that is out once more. */
+/* Sends the call's pending ask again. */
 void cluster_ask_again(Cluster *c, Call *call)
 {
 	CallPlace *p = call_get_place(call);
@@ -347,9 +360,10 @@
 	cluster_send(c, p->asked_node, &m);
 }
 
-/* A scheduler left an ask unanswered. One that leaves several is suspected at once: the probes of membership
- * take seconds, in which all nodes would decide alone, each as if the engines were its own. */
-static void note_unanswered_(Cluster *c, Service *s, uint64_t node_id)
+/* Records that a node left an ask unanswered. A scheduler that leaves several unanswered is suspected at
+ * once: the membership probes take seconds, in which all nodes would decide by themselves, each as if it used
+ * the engines alone. */
+static void record_unanswered_(Cluster *c, Service *s, uint64_t node_id)
 {
 	const BH__MemberInfo *info = bh__members_find(c->members, node_id);
 	uint64_t now_us = clock_now_us();
@@ -360,7 +374,7 @@
 	bh__members_process_unreachable(c->members, node_id, now_us);
 }
 
-/* Lets this node's own planner decide. */
+/* Lets this node's own planner answer the call's ask. Withdraws the ask from the node to which it went. */
 void cluster_ask_locally(Cluster *c, Call *call)
 {
 	CallPlace *p = call_get_place(call);
@@ -369,7 +383,7 @@
 
 	if (p->asked_node != bh__members_get_self(c->members)->node_id) {
 		BH__Message m = {.type = BH__MESSAGE_WITHDRAW};
-		note_unanswered_(c, s, p->asked_node);
+		record_unanswered_(c, s, p->asked_node);
 		m.as.release.pool_id = ask.pool_id;
 		m.as.release.grant_id = ask.ask_id;
 		cluster_send(c, p->asked_node, &m);
@@ -380,7 +394,7 @@
 	cluster_watch_waiting(c);
 }
 
-/* Forgets the ask that is out. */
+/* Drops the call's pending ask, if it has one, and withdraws it from the node to which it went. */
 void cluster_drop_ask(Cluster *c, Call *call)
 {
 	CallPlace *p = call_get_place(call);
@@ -396,7 +410,7 @@
 	cluster_drain_inbox(c);
 }
 
-/* Tells the scheduler that the answer has begun. */
+/* Notifies the scheduler that the first event of the answer has been received. */
 void cluster_tell_progress(Cluster *c, Call *call)
 {
 	CallPlace *p = call_get_place(call);
@@ -404,10 +418,11 @@
 	if (!p->grant.grant_id)
 		return;
 	p->grant.has_first_event = true;
-	tell_(c, call, &(BH__Message){.type = BH__MESSAGE_PROGRESS});
+	notify_nodes_(c, call, &(BH__Message){.type = BH__MESSAGE_PROGRESS});
 }
 
-/* Tells the scheduler that the engine has just ended a long pass, for which the answer paused. */
+/* Notifies the scheduler that the engine has just ended a long iteration of `iteration_us`, during which the
+ * answer paused. */
 void cluster_tell_pass(Cluster *c, Call *call, uint64_t iteration_us)
 {
 	BH__Message m = {.type = BH__MESSAGE_ITERATION};
@@ -415,10 +430,11 @@
 	if (!call_get_place(call)->grant.has_first_event)
 		return;
 	m.as.release.iteration_us = iteration_us;
-	tell_(c, call, &m);
+	notify_nodes_(c, call, &m);
 }
 
-/* Gives back the grant that the call holds, if it holds one. */
+/* Releases the grant that the call holds, if it holds one. `failed_endpoint` names the endpoint that failed,
+ * or is 0. The message includes the remaining backoff of this endpoint. */
 void cluster_release(Cluster *c, Call *call, BH__ReleaseKind kind, uint64_t failed_endpoint)
 {
 	const BH__RegisteredEndpoint *failed = bh__registry_find(c->gate->registry, failed_endpoint);
@@ -432,12 +448,13 @@
 	m.as.release.failed_endpoint = failed_endpoint;
 	m.as.release.backoff_us =
 		failed ? failed->signals.backoff_until_us - MIN(now_us, failed->signals.backoff_until_us) : 0;
-	tell_(c, call, &m);
+	notify_nodes_(c, call, &m);
 	memset(&p->grant, 0, sizeof p->grant);
 }
 
-/* Tells of the call's grant: this node's own planner, the scheduler, and the node that granted it. */
-static void tell_(Cluster *c, Call *call, BH__Message *m)
+/* Sends a message on the call's grant to this node's own planner, the scheduler, and the node that gave the
+ * grant. */
+static void notify_nodes_(Cluster *c, Call *call, BH__Message *m)
 {
 	CallPlace *p = call_get_place(call);
 	Service *s = add_service_(c, p->service);
@@ -453,6 +470,7 @@
 	cluster_drain_inbox(c);
 }
 
+/* Processes a release, progress, iteration or withdraw message. */
 void schedulers_process_release(Cluster *c, const BH__Message *m, uint64_t now_us)
 {
 	Service *s = schedulers_find(c, m->as.release.pool_id);
@@ -476,8 +494,8 @@
 		bh__planner_process_withdraw(s->planner, m->as.release.grant_id);
 }
 
-/* Takes a grant for a call. One that nobody waits for is given back. */
-void schedulers_take_grant(Cluster *c, const BH__Grant *g, uint64_t from_node)
+/* Passes a grant to the call that asked for it. Releases a grant for which no call waits. */
+void schedulers_process_grant(Cluster *c, const BH__Grant *g, uint64_t from_node)
 {
 	Call *call = g_hash_table_lookup(c->by_ask, &g->ask_id);
 	Service *s = schedulers_find(c, g->pool_id);
@@ -502,7 +520,8 @@
 	call_on_grant(call);
 }
 
-void schedulers_take_refusal(Cluster *c, uint64_t ask_id, BH__Reason reason, uint64_t retry_after_ms)
+/* Passes a refusal to the call that asked, if it still waits. */
+void schedulers_process_refusal(Cluster *c, uint64_t ask_id, BH__Reason reason, uint64_t retry_after_ms)
 {
 	Call *call = g_hash_table_lookup(c->by_ask, &ask_id);
 
@@ -513,7 +532,8 @@
 	call_on_refuse(call, reason, retry_after_ms);
 }
 
-/* Writes what the planners believe, as metrics. */
+/* Writes, as metrics, the number of nodes, the peer traffic, the rate limits in force, and the state of the
+ * planners and their engines as this node sees it. */
 void cluster_write_status(const Cluster *c, struct evbuffer *out)
 {
 	const PeersCounters *p = peers_get_counters(c->peers);
--- a/src/bayhoist-gate/signals.c
+++ b/src/bayhoist-gate/signals.c
@@ -1,7 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Signals that endpoints give in the heads of their answers (bayhoist/endpoint_signal.h): the one place where
- * they are taken, whatever the answer was to. One more kind is a row of the adapter's table and one of
- * Takers_. */
+/* Processes the signals that endpoints send in the headers of their answers (bayhoist/endpoint_signal.h). All
+ * answers come through this file, whatever the request. A new kind of signal needs a row in the adapter's
+ * table and one in Handlers_. */
 #include "gate.h"
 
 #include <json-c/json.h>
@@ -10,26 +10,28 @@
 #include "cluster_internal.h"
 #include "log.h"
 
-#define REFUSED 503            /* the status of an answer that turns a request away */
-#define UNKNOWN_HEADERS_MAX 32 /* names of headers that are counted apart */
-#define HEADER_NAME_MAX 60     /* bytes of such a name that are kept */
+#define STATUS_REFUSED 503     /* HTTP status of an answer that rejects the request before it runs */
+#define UNKNOWN_HEADERS_MAX 32 /* unknown header names that have a counter each; others are ignored */
+#define HEADER_NAME_MAX 60     /* bytes kept of an unknown header name */
 
-typedef void Take(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s);
+/* Processes a readable or absent signal of an answer from endpoint `e`. */
+typedef void SignalHandler(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s);
 
-static void take_limit_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s);
-static void take_leaving_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s);
-static void take_backoff_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s);
+static void process_limit_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s);
+static void process_leaving_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s);
+static void process_backoff_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s);
 
 static void relay_send_(BH__SignalRelayPort *port, uint64_t node_id, BH__Message *m);
 static uint64_t relay_find_home_(BH__SignalRelayPort *port, const char *service);
-static void relay_learnt_(BH__SignalRelayPort *port, BH__SignalKind kind, const BH__RegisteredEndpoint *e);
-static void follow_(Gate *g);
+static void relay_merged_(BH__SignalRelayPort *port, BH__SignalKind kind, const BH__RegisteredEndpoint *e);
+static void apply_changes_(Gate *g);
 
-static Take *const Takers_[BH__SIGNAL_KIND_COUNT] = {[BH__SIGNAL_LIMIT] = take_limit_,
-													 [BH__SIGNAL_LEAVING] = take_leaving_,
-													 [BH__SIGNAL_BACKOFF] = take_backoff_};
+static SignalHandler *const Handlers_[BH__SIGNAL_KIND_COUNT] = {[BH__SIGNAL_LIMIT] = process_limit_,
+																[BH__SIGNAL_LEAVING] = process_leaving_,
+																[BH__SIGNAL_BACKOFF] = process_backoff_};
 
-/* Takes what an answer says of its endpoint, unless that has started again since the request was sent. */
+/* Processes the signals of an answer. Ignores them if the endpoint has restarted since the request was sent.
+ * Signals with an unreadable value are counted and logged. */
 void signals_note_answer(Gate *g, const AnswerOrigin *o, const AnswerMeta *m)
 {
 	for (int k = 0; k < BH__SIGNAL_KIND_COUNT; k++) {
@@ -39,7 +41,7 @@
 			return;
 		g->counters.signals[k] += s->state == BH__SIGNAL_GIVEN;
 		if (s->state != BH__SIGNAL_UNREADABLE) {
-			Takers_[k](g, e, o, s);
+			Handlers_[k](g, e, o, s);
 			continue;
 		}
 		g->counters.unreadable_signals[k]++;
@@ -48,66 +50,70 @@
 	}
 }
 
-/* A limit ends by an answer that names none; a refusal that names none does not end it. */
-static void take_limit_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
+/* Merges a rate limit that an answer advertises. An answer to a request that ran and that advertises no limit
+ * ends the limit; a refusal without one does not. */
+static void process_limit_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
 {
-	BH__NamedLimit heard = {.in_force = s->state == BH__SIGNAL_GIVEN, .per_s = s->value};
+	BH__NamedLimit received = {.in_force = s->state == BH__SIGNAL_GIVEN, .per_s = s->value};
 	double was_per_s = e->signals.named.in_force ? e->signals.named.per_s : -1;
 
-	if (!heard.in_force && !o->is_served)
+	if (!received.in_force && !o->is_served)
 		return;
-	heard.heard_us = heard.in_force ? o->heard_us : o->sent_us;
-	if (!bh__signal_relay_receive_limit(g->cluster->signals->relay, e, &heard, clock_now_us()))
+	received.heard_us = received.in_force ? o->heard_us : o->sent_us;
+	if (!bh__signal_relay_receive_limit(g->cluster->signals->relay, e, &received, clock_now_us()))
 		return;
-	schedulers_follow_limits(g->cluster, e);
+	schedulers_apply_limits(g->cluster, e);
 	g->counters.limit_changes++;
 	log_event("limit", "what=%s endpoint=%s per_s=%.3f was=%.3f request=%s",
 			  e->signals.named.in_force ? "named" : "ended", e->entry.id,
 			  e->signals.named.in_force ? e->signals.named.per_s : -1.0, was_per_s, o->request_id);
 }
 
-/* A leaving ends by a later start alone: an answer that does not say it may have been made before. */
-static void take_leaving_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
+/* Marks an endpoint as leaving. Only a later start of the endpoint ends this state, because an answer without
+ * the signal may be older than the signal. */
+static void process_leaving_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
 {
 	if (s->state != BH__SIGNAL_GIVEN || s->value <= 0 ||
 		!bh__signal_relay_receive_leaving(g->cluster->signals->relay, e, clock_now_us()))
 		return;
 	log_event("signal", "kind=leaving what=heard endpoint=%s born_ms=%" G_GUINT64_FORMAT " request=%s",
 			  e->entry.id, e->entry.born_ms, o->request_id);
-	follow_(g);
+	apply_changes_(g);
 }
 
-/* Only a refusal asks for backoff: in other answers the header speaks to the caller. The time counts from
- * when the answer was read, by a clock that does not stop while the node is suspended. */
-static void take_backoff_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
+/* Applies a backoff. Only a refusal asks for one: in other answers the header is meant for the caller. The
+ * time counts from the moment at which the answer was read, on a clock that does not stop while the node is
+ * suspended. */
+static void process_backoff_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
 {
 	uint64_t was_until_us = MAX(e->signals.backoff_until_us, o->heard_us);
 	uint64_t until_us = o->heard_us + (uint64_t)(s->value * BH__SECOND_US);
 
-	if (s->state != BH__SIGNAL_GIVEN || o->status != REFUSED)
+	if (s->state != BH__SIGNAL_GIVEN || o->status != STATUS_REFUSED)
 		return;
 	if (!bh__registered_endpoint_hear_backoff(e, until_us))
 		return;
 	log_event("signal",
 			  "kind=backoff what=heard endpoint=%s for_ms=%.0f was_ms=%" G_GUINT64_FORMAT " request=%s",
 			  e->entry.id, s->value * 1000, (was_until_us - o->heard_us) / BH__MS_US, o->request_id);
-	if (!schedulers_has_service(g->cluster, e->entry.service)) /* a scheduler hears of it by the release */
+	/* A scheduler receives the backoff with the release of the grant. */
+	if (!schedulers_has_service(g->cluster, e->entry.service))
 		bh__signal_relay_receive_overload(g->cluster->signals->relay, e, until_us, clock_now_us());
 }
 
-/* What is known of endpoints has changed: the planners follow before anything else is granted. */
-static void follow_(Gate *g)
+/* Applies changed endpoint states to the planners before anything else is granted. */
+static void apply_changes_(Gate *g)
 {
 	gate_note_registry(g, 0);
 }
 
-/* Returns what tells other nodes, and is told by them. Membership must have been started. */
+/* Creates the exchange of signals with other nodes. Membership must have been started. */
 Signals *signals_new(Cluster *c)
 {
 	Signals *s = g_new0(Signals, 1);
 
 	s->port =
-		(BH__SignalRelayPort){.send = relay_send_, .find_home = relay_find_home_, .merged = relay_learnt_};
+		(BH__SignalRelayPort){.send = relay_send_, .find_home = relay_find_home_, .merged = relay_merged_};
 	s->cluster = c;
 	s->relay = bh__signal_relay_new(&s->port, c->members, c->gate->registry);
 	return s;
@@ -129,14 +135,15 @@
 	return limits_find_home(((Signals *)port)->cluster, service);
 }
 
-static void relay_learnt_(BH__SignalRelayPort *port, BH__SignalKind kind, const BH__RegisteredEndpoint *e)
+/* Logs a signal that was merged from another node and applies a limit to the planner. */
+static void relay_merged_(BH__SignalRelayPort *port, BH__SignalKind kind, const BH__RegisteredEndpoint *e)
 {
 	if (kind != BH__SIGNAL_LIMIT) {
 		log_event("signal", "kind=%s what=told endpoint=%s born_ms=%" G_GUINT64_FORMAT,
 				  BH__SignalKindString[kind], e->entry.id, e->entry.born_ms);
 		return;
 	}
-	schedulers_follow_limits(((Signals *)port)->cluster, e);
+	schedulers_apply_limits(((Signals *)port)->cluster, e);
 	log_event("limit", "what=told endpoint=%s per_s=%.3f", e->entry.id,
 			  e->signals.named.in_force ? e->signals.named.per_s : -1.0);
 }
@@ -146,22 +153,23 @@
 	bh__signal_relay_process_tick(s->relay, clock_now_us());
 }
 
-/* Takes a message. Returns false if it is not one of signals. */
+/* Processes a message. Returns false if it does not belong to the signal relay. */
 bool signals_process_message(Signals *s, const BH__Message *m)
 {
 	if (!bh__signal_relay_process_message(s->relay, m, clock_now_us()))
 		return false;
-	follow_(s->cluster->gate);
+	apply_changes_(s->cluster->gate);
 	return true;
 }
 
-/* A node is there that may know nothing yet. */
-void signals_tell_node(Signals *s, uint64_t node_id)
+/* Sends the current signals to a node that may have received none yet. */
+void signals_notify_node(Signals *s, uint64_t node_id)
 {
 	bh__signal_relay_notify_node(s->relay, node_id, clock_now_us());
 }
 
-/* An endpoint's answer has a header that nobody here knows: what it says may bind the gateway one day. */
+/* Counts and logs an answer header that the gateway does not know, so that operators see new headers to which
+ * the gateway may have to respond. */
 void signals_note_unknown(Gate *g, const char *header)
 {
 	char *name = g_ascii_strdown(header, (gssize)MIN(strlen(header), (size_t)HEADER_NAME_MAX));
@@ -177,8 +185,8 @@
 	g_free(name);
 }
 
-/* Returns what an endpoint is to new requests of this node: it is listed and takes them, it leaves, its hall
- * drains, or its entry is gone. */
+/* Returns the state of an endpoint for new requests of this node: "used" if it is listed and accepts them,
+ * "leaving", "drained" if its data hall drains, or "gone" if its entry has been removed. */
 static const char *state_(const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	if (e->entry.draining)
@@ -188,6 +196,7 @@
 	return bh__registered_endpoint_stays(e, now_us) ? "used" : "gone";
 }
 
+/* Returns the time left until `until_us` in ms, 0 if it has passed. */
 static int64_t left_ms_(uint64_t until_us, uint64_t now_us)
 {
 	return (int64_t)((until_us - MIN(now_us, until_us)) / BH__MS_US);
@@ -212,7 +221,8 @@
 	return o;
 }
 
-/* Returns the endpoints as this node knows them, for operators; to free with json_object_put(). */
+/* Returns a JSON description of the endpoints that this node knows, for operators. The caller frees it with
+ * json_object_put(). */
 struct json_object *signals_describe(const Gate *g)
 {
 	struct json_object *root = json_object_new_object();
@@ -225,7 +235,8 @@
 	return root;
 }
 
-/* Writes how often each signal was given, as metrics. */
+/* Writes, as metrics, how often each signal was received or unreadable, and how often each unknown header
+ * was. */
 void signals_write_status(const Gate *g, struct evbuffer *out)
 {
 	GHashTableIter it;
