--- a/src/bayhoist-gate/signals.c
+++ b/src/bayhoist-gate/signals.c
@@ -55,7 +55,7 @@
 static void process_limit_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
 {
 	BH__NamedLimit received = {.in_force = s->state == BH__SIGNAL_GIVEN, .per_s = s->value};
-	double was_per_s = e->signals.named.in_force ? e->signals.named.per_s : -1;
+	double old_per_s = e->signals.named.in_force ? e->signals.named.per_s : -1;
 
 	if (!received.in_force && !o->is_served)
 		return;
@@ -66,7 +66,7 @@
 	g->counters.limit_changes++;
 	log_event("limit", "what=%s endpoint=%s per_s=%.3f was=%.3f request=%s",
 			  e->signals.named.in_force ? "named" : "ended", e->entry.id,
-			  e->signals.named.in_force ? e->signals.named.per_s : -1.0, was_per_s, o->request_id);
+			  e->signals.named.in_force ? e->signals.named.per_s : -1.0, old_per_s, o->request_id);
 }
 
 /* Marks an endpoint as leaving. Only a later start of the endpoint ends this state, because an answer without
@@ -86,7 +86,7 @@
  * suspended. */
 static void process_backoff_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
 {
-	uint64_t was_until_us = MAX(e->signals.backoff_until_us, o->heard_us);
+	uint64_t old_until_us = MAX(e->signals.backoff_until_us, o->heard_us);
 	uint64_t until_us = o->heard_us + (uint64_t)(s->value * BH__SECOND_US);
 
 	if (s->state != BH__SIGNAL_GIVEN || o->status != STATUS_REFUSED)
@@ -95,7 +95,7 @@
 		return;
 	log_event("signal",
 			  "kind=backoff what=heard endpoint=%s for_ms=%.0f was_ms=%" G_GUINT64_FORMAT " request=%s",
-			  e->entry.id, s->value * 1000, (was_until_us - o->heard_us) / BH__MS_US, o->request_id);
+			  e->entry.id, s->value * 1000, (old_until_us - o->heard_us) / BH__MS_US, o->request_id);
 	/* A scheduler receives the backoff with the release of the grant. */
 	if (!schedulers_has_service(g->cluster, e->entry.service))
 		bh__signal_relay_receive_overload(g->cluster->signals->relay, e, until_us, clock_now_us());
@@ -148,6 +148,7 @@
 			  e->signals.named.in_force ? e->signals.named.per_s : -1.0);
 }
 
+/* Runs the periodic work of the signal relay. */
 void signals_process_tick(Signals *s)
 {
 	bh__signal_relay_process_tick(s->relay, clock_now_us());
@@ -202,6 +203,7 @@
 	return (int64_t)((until_us - MIN(now_us, until_us)) / BH__MS_US);
 }
 
+/* Returns a JSON description of an endpoint. Durations are in ms and the limit is in requests per second. */
 static struct json_object *describe_endpoint_(const BH__RegisteredEndpoint *e, uint64_t now_us)
 {
 	struct json_object *o = json_object_new_object();
