--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -520,7 +520,7 @@
 	c->asked_us = now_us;
 	call_set_timer(c, now_us);
 	fill_backoffs_(c);
-	cluster_ask_again(c->gate->cluster, c);
+	cluster_resend_ask(c->gate->cluster, c);
 }
 
 CallPlace *call_get_place(Call *c)
--- a/src/bayhoist-gate/cluster.c
+++ b/src/bayhoist-gate/cluster.c
@@ -68,7 +68,7 @@
 	c->by_ask = g_hash_table_new(g_int64_hash, g_int64_equal);
 	c->home_since = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g_queue_init(&c->inbox);
-	g_queue_init(&c->early);
+	g_queue_init(&c->deferred);
 	c->signals = signals_new(c);
 	c->tick = event_new(g->base, -1, EV_PERSIST, on_tick_, c);
 	c->waiting_tick = evtimer_new(g->base, on_waiting_tick_, c);
@@ -86,7 +86,7 @@
 	if (c->peers)
 		peers_delete(c->peers);
 	g_queue_clear_full(&c->inbox, g_free);
-	g_queue_clear_full(&c->early, g_free);
+	g_queue_clear_full(&c->deferred, g_free);
 	g_hash_table_unref(c->by_ask);
 	g_hash_table_unref(c->services);
 	g_hash_table_unref(c->home_since);
@@ -107,7 +107,7 @@
 }
 
 /* Adds a node that the platform's record of duties names as a member, alive but unconfirmed. */
-void cluster_presume(Cluster *c, const BH__MemberInfo *info)
+void cluster_add_unconfirmed(Cluster *c, const BH__MemberInfo *info)
 {
 	bh__members_add_unconfirmed(c->members, info, clock_now_us());
 	schedulers_apply_membership(c, clock_now_us());
@@ -125,7 +125,7 @@
 }
 
 /* Returns the membership for modules that attach data to its probes and therefore modify it. */
-BH__Members *cluster_get_own_members(Cluster *c)
+BH__Members *cluster_get_mutable_members(Cluster *c)
 {
 	return c->members;
 }
@@ -177,7 +177,7 @@
 	if (m->from_node != bh__members_get_self(c->members)->node_id)
 		dispatch_(c, m);
 	cluster_drain_inbox(c);
-	cluster_watch_waiting(c);
+	cluster_schedule_waiting_tick(c);
 }
 
 /* Notifies membership that the nodes at an address cannot be reached. */
@@ -207,7 +207,7 @@
 	set_ready_(c, gate_is_ready(c->gate, now_us));
 	bh__members_process_tick(c->members, now_us);
 	log_members_(c);
-	bh__platform_sync_process_tick(looks_get(c->gate->looks), now_us);
+	bh__platform_sync_process_tick(platform_sync_get(c->gate->looks), now_us);
 	gate_note_registry(c->gate, 0);
 	crashes_process_tick(c->gate->crashes, now_us);
 	schedulers_apply_membership(c, now_us);
@@ -222,7 +222,7 @@
 		schedulers_record_duty(value, now_us);
 	}
 	cluster_drain_inbox(c);
-	cluster_watch_waiting(c);
+	cluster_schedule_waiting_tick(c);
 	log_flush();
 }
 
@@ -253,7 +253,7 @@
 }
 
 /* Starts the short tick if asks wait here; it is not scheduled otherwise. */
-void cluster_watch_waiting(Cluster *c)
+void cluster_schedule_waiting_tick(Cluster *c)
 {
 	struct timeval soon = {0, WAITING_TICK_MS * 1000};
 	GHashTableIter it;
@@ -262,7 +262,7 @@
 	g_hash_table_iter_init(&it, c->services);
 	if (evtimer_pending(c->waiting_tick, NULL))
 		return;
-	if (!g_queue_is_empty(&c->early))
+	if (!g_queue_is_empty(&c->deferred))
 		evtimer_add(c->waiting_tick, &soon);
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		if (bh__planner_is_waiting(((Service *)value)->planner))
@@ -283,7 +283,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &value))
 		bh__planner_process_tick(((Service *)value)->planner, clock_now_us());
 	cluster_drain_inbox(c);
-	cluster_watch_waiting(c);
+	cluster_schedule_waiting_tick(c);
 }
 
 /* Sends a message to a node. A message to this node itself goes to the inbox, which is drained after the
@@ -357,13 +357,13 @@
 		schedulers_process_hold(c, m, now_us);
 		break;
 	case BH__MESSAGE_SYNC_ASK:
-		bh__platform_sync_process_ask(looks_get(c->gate->looks), m, now_us);
+		bh__platform_sync_process_ask(platform_sync_get(c->gate->looks), m, now_us);
 		break;
 	case BH__MESSAGE_SYNC:
-		bh__platform_sync_process_answer(looks_get(c->gate->looks), m, now_us);
+		bh__platform_sync_process_answer(platform_sync_get(c->gate->looks), m, now_us);
 		break;
 	case BH__MESSAGE_READER:
-		bh__platform_sync_process_reader(looks_get(c->gate->looks), m, now_us);
+		bh__platform_sync_process_reader(platform_sync_get(c->gate->looks), m, now_us);
 		break;
 	default:
 		break;
--- a/src/bayhoist-gate/cluster_internal.h
+++ b/src/bayhoist-gate/cluster_internal.h
@@ -42,7 +42,7 @@
 	GHashTable *services; /* Service by name */
 	GHashTable *by_ask;   /* Call by ask id */
 	GQueue inbox;         /* BH__Message from this node to itself */
-	GQueue early;         /* EarlyAsk: asks that wait until this node may answer them */
+	GQueue deferred;      /* EarlyAsk: asks that wait until this node may answer them */
 	Signals *signals;
 	/* Services without a scheduler whose home is this node, by name. The value is the time (uint64_t, in us)
 	 * since which this node has been the home. */
@@ -59,7 +59,7 @@
 
 /* cluster.c */
 void cluster_drain_inbox(Cluster *c);
-void cluster_watch_waiting(Cluster *c);
+void cluster_schedule_waiting_tick(Cluster *c);
 
 /* schedulers.c */
 Service *schedulers_find(const Cluster *c, uint64_t pool_id);
--- a/src/bayhoist-gate/crashes.c
+++ b/src/bayhoist-gate/crashes.c
@@ -52,7 +52,7 @@
 	c->port = (BH__CrashPort){
 		.send = on_send_, .find_endpoint = on_find_endpoint_, .probe = on_look_, .changed = on_changed_};
 	c->gate = g;
-	c->watch = bh__crash_watch_new(&c->port, cluster_get_own_members(g->cluster));
+	c->watch = bh__crash_watch_new(&c->port, cluster_get_mutable_members(g->cluster));
 	c->looks = g_hash_table_new(g_direct_hash, g_direct_equal);
 	c->to_record = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
 	c->timer = evtimer_new(g->base, on_timer_, c);
--- a/src/bayhoist-gate/early_asks.c
+++ b/src/bayhoist-gate/early_asks.c
@@ -26,12 +26,12 @@
 		bh__planner_process_ask(s->planner, ask, now_us);
 		return;
 	}
-	if (find_early_(c, ask->ask_id) || g_queue_get_length(&c->early) >= EARLY_MAX)
+	if (find_early_(c, ask->ask_id) || g_queue_get_length(&c->deferred) >= EARLY_MAX)
 		return;
 	e = g_new0(EarlyAsk, 1);
 	e->ask = *ask;
 	e->arrived_us = now_us;
-	g_queue_push_tail(&c->early, e);
+	g_queue_push_tail(&c->deferred, e);
 	schedulers_say_queued(c, ask);
 }
 
@@ -44,7 +44,7 @@
 /* Returns the place in the queue of an ask that waits, or NULL. */
 static GList *find_early_(Cluster *c, uint64_t ask_id)
 {
-	for (GList *it = c->early.head; it; it = it->next)
+	for (GList *it = c->deferred.head; it; it = it->next)
 		if (((const EarlyAsk *)it->data)->ask.ask_id == ask_id)
 			return it;
 	return NULL;
@@ -58,15 +58,15 @@
 	if (!it)
 		return;
 	g_free(it->data);
-	g_queue_delete_link(&c->early, it);
+	g_queue_delete_link(&c->deferred, it);
 }
 
 /* Looks at the asks that waited. One that came to a node which does not schedule is answered all the same, if
  * that has not changed soon: its sender knows no better one. */
 void schedulers_process_early(Cluster *c, uint64_t now_us)
 {
-	for (guint n = g_queue_get_length(&c->early); n > 0; n--) {
-		EarlyAsk *e = g_queue_pop_head(&c->early);
+	for (guint n = g_queue_get_length(&c->deferred); n > 0; n--) {
+		EarlyAsk *e = g_queue_pop_head(&c->deferred);
 		Service *s = schedulers_find(c, e->ask.pool_id);
 		bool is_old = now_us >= e->arrived_us + BH__TAKEOVER_MAX_US;
 		if (may_decide_(c, s, now_us) || (is_old && s && gate_knows_endpoints(c->gate))) {
@@ -74,7 +74,7 @@
 			g_free(e);
 		}
 		else {
-			g_queue_push_tail(&c->early, e);
+			g_queue_push_tail(&c->deferred, e);
 		}
 	}
 }
@@ -84,5 +84,5 @@
 {
 	schedulers_process_early(c, clock_now_us());
 	cluster_drain_inbox(c);
-	cluster_watch_waiting(c);
+	cluster_schedule_waiting_tick(c);
 }
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -29,7 +29,7 @@
 typedef struct Inbound Inbound;
 typedef struct Outbound Outbound;
 typedef struct Cluster Cluster;
-typedef struct Looks Looks;
+typedef struct PlatformSync PlatformSync;
 typedef struct Crashes Crashes;
 
 /* Why a request ended, for the counters. */
@@ -68,7 +68,7 @@
 	struct event_base *base;
 	void *binding; /* the platform binding's own state */
 	Cluster *cluster;
-	Looks *looks;
+	PlatformSync *looks;
 	Crashes *crashes;
 	BH__Routing *routing;       /* NULL: not known yet */
 	char *routing_text;         /* that it was decoded from */
@@ -195,7 +195,7 @@
 
 MemoryHold *memory_hold_new(Gate *g, const BH__Grant *grant, MemoryDone done, void *ctx);
 const char *memory_hold_get_id(const MemoryHold *h, uint64_t endpoint_id);
-void memory_hold_note_heard(MemoryHold *h);
+void memory_hold_note_received(MemoryHold *h);
 void memory_hold_delete(MemoryHold *h);
 void memory_free_abandoned(Gate *g, const BH__Grant *grant);
 
@@ -204,22 +204,22 @@
 void cluster_free(Cluster *c);
 void cluster_add_seed(Cluster *c, const char *peer_address);
 void cluster_join(Cluster *c);
-void cluster_presume(Cluster *c, const BH__MemberInfo *info);
+void cluster_add_unconfirmed(Cluster *c, const BH__MemberInfo *info);
 void cluster_process_early(Cluster *c);
 bool cluster_awaits(Cluster *c, uint64_t node_id);
 void cluster_leave(Cluster *c, uint64_t now_us);
-void cluster_follow_routing(Cluster *c, uint64_t now_us);
-void cluster_follow_registry(Cluster *c, uint64_t now_us);
-void cluster_follow_era(Cluster *c);
+void cluster_apply_routing(Cluster *c, uint64_t now_us);
+void cluster_apply_registry(Cluster *c, uint64_t now_us);
+void cluster_apply_era(Cluster *c);
 const BH__Members *cluster_get_members(const Cluster *c);
-BH__Members *cluster_get_own_members(Cluster *c);
+BH__Members *cluster_get_mutable_members(Cluster *c);
 unsigned cluster_count_nodes(const Cluster *c);
 void cluster_ask(Cluster *c, Call *call);
-void cluster_ask_again(Cluster *c, Call *call);
+void cluster_resend_ask(Cluster *c, Call *call);
 void cluster_ask_locally(Cluster *c, Call *call);
 void cluster_drop_ask(Cluster *c, Call *call);
-void cluster_tell_progress(Cluster *c, Call *call);
-void cluster_tell_pass(Cluster *c, Call *call, uint64_t pass_us);
+void cluster_notify_progress(Cluster *c, Call *call);
+void cluster_notify_iteration(Cluster *c, Call *call, uint64_t pass_us);
 void cluster_release(Cluster *c, Call *call, BH__ReleaseKind kind, uint64_t failed_endpoint);
 void cluster_write_status(const Cluster *c, struct evbuffer *out);
 
@@ -247,14 +247,14 @@
 void cluster_ask_permit(Cluster *c, Call *call, const BH__RegisteredEndpoint *e, uint64_t patience_us);
 
 /* looks.c */
-Looks *looks_new(Gate *g);
-void looks_delete(Looks *l);
-BH__PlatformSync *looks_get(const Looks *l);
-void looks_follow_settings(Looks *l);
-void looks_write_status(const Looks *l, struct evbuffer *out);
+PlatformSync *platform_sync_new(Gate *g);
+void platform_sync_delete(PlatformSync *l);
+BH__PlatformSync *platform_sync_get(const PlatformSync *l);
+void platform_sync_apply_settings(PlatformSync *l);
+void platform_sync_write_status(const PlatformSync *l, struct evbuffer *out);
 
 /* halls.c */
-void halls_follow(Gate *g);
+void halls_log_changes(Gate *g);
 void halls_write_status(const Gate *g, struct evbuffer *out);
 struct json_object *halls_describe(const Gate *g);
 
--- a/src/bayhoist-gate/halls.c
+++ b/src/bayhoist-gate/halls.c
@@ -10,7 +10,7 @@
 static unsigned count_requests_(const Gate *g, const char *hall);
 
 /* Logs the state of every known hall if the registry's halls have changed since the previous call. */
-void halls_follow(Gate *g)
+void halls_log_changes(Gate *g)
 {
 	char store_version[BH__STORE_VERSION_TEXT_LEN];
 
--- a/src/bayhoist-gate/main.c
+++ b/src/bayhoist-gate/main.c
@@ -99,7 +99,7 @@
 	g->unknown_headers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g->own_events = g_ptr_array_new_with_free_func((GDestroyNotify)event_free);
 	started = cluster_start(g);
-	g->looks = looks_new(g);
+	g->looks = platform_sync_new(g);
 	g->crashes = crashes_new(g);
 	if (!started || !web_start(g) || !inbounds_listen(g) || !g->port->start(g)) {
 		log_error("start-failed", "caller_address=%s peer_address=%s cause=\"%s\"",
@@ -108,7 +108,7 @@
 	}
 	add_seeds_(g);
 	cluster_join(g->cluster);
-	bh__platform_sync_process_tick(looks_get(g->looks), g->started_us);
+	bh__platform_sync_process_tick(platform_sync_get(g->looks), g->started_us);
 	g->port->find_duties(g);
 	add_event_(g, evsignal_new(g->base, SIGTERM, on_terminate_, g), NULL);
 	add_event_(g, evsignal_new(g->base, SIGINT, on_terminate_, g), NULL);
@@ -174,10 +174,10 @@
 		g->routing = routing;
 		g_free(g->routing_text);
 		g->routing_text = g_strdup(text);
-		cluster_follow_routing(g->cluster, clock_now_us());
+		cluster_apply_routing(g->cluster, clock_now_us());
 	}
 	gate_note_look(g, looked_us);
-	bh__platform_sync_process_update(looks_get(g->looks), clock_now_us());
+	bh__platform_sync_process_update(platform_sync_get(g->looks), clock_now_us());
 }
 
 /* A look has shown that the operators have not written a configuration yet. */
@@ -220,7 +220,7 @@
 void gate_presume_node(Gate *g, const char *duty, const BH__MemberInfo *info)
 {
 	log_event("duty", "what=presumed duty=%s node=%s", duty, info->name);
-	cluster_presume(g->cluster, info);
+	cluster_add_unconfirmed(g->cluster, info);
 }
 
 /* The record of duties has been read, as far as it can be. */
@@ -244,7 +244,7 @@
 	if (!bh__store_version_is_zero(g->place_seen) && place.era > g->place_seen.era) {
 		log_event("store", "what=era was=%" G_GUINT64_FORMAT " now=%" G_GUINT64_FORMAT, g->place_seen.era,
 				  place.era);
-		cluster_follow_era(g->cluster);
+		cluster_apply_era(g->cluster);
 		crashes_follow_era(g->crashes);
 	}
 	g->place_seen = place;
@@ -255,18 +255,18 @@
 void gate_note_registry(Gate *g, uint64_t looked_us)
 {
 	if (looked_us)
-		bh__platform_sync_note_read_answered(looks_get(g->looks), looked_us, clock_now_us());
-	if (bh__platform_sync_get_as_of_us(looks_get(g->looks)))
+		bh__platform_sync_note_read_answered(platform_sync_get(g->looks), looked_us, clock_now_us());
+	if (bh__platform_sync_get_as_of_us(platform_sync_get(g->looks)))
 		bh__startup_state_note_endpoints(&g->knowledge, clock_now_us());
 	bh__registry_process_tick(g->registry, clock_now_us());
 	follow_era_(g);
-	halls_follow(g);
+	halls_log_changes(g);
 	if (g->registry_seen != bh__registry_get_version(g->registry)) {
 		g->registry_seen = bh__registry_get_version(g->registry);
-		cluster_follow_registry(g->cluster, clock_now_us());
+		cluster_apply_registry(g->cluster, clock_now_us());
 		crashes_follow_registry(g->crashes, clock_now_us());
 	}
-	bh__platform_sync_process_update(looks_get(g->looks), clock_now_us());
+	bh__platform_sync_process_update(platform_sync_get(g->looks), clock_now_us());
 	calls_process_news(g);
 }
 
@@ -347,7 +347,7 @@
 	g->settings.directory_ttl_max_s = s.directory_ttl_max_s;
 	g->settings.repeat_share = s.repeat_share;
 	g->settings.repeat_extra = s.repeat_extra;
-	looks_follow_settings(g->looks);
+	platform_sync_apply_settings(g->looks);
 	gate_settings_finish(&s);
 	log_event("reload", "what=done");
 }
@@ -365,7 +365,7 @@
 	web_stop(g);
 	crashes_delete(g->crashes);
 	cluster_free(g->cluster);
-	looks_delete(g->looks);
+	platform_sync_delete(g->looks);
 	event_base_loop(g->base, EVLOOP_NONBLOCK); /* frees what was left to the loop */
 	g_ptr_array_unref(g->own_events);
 	event_base_free(g->base);
--- a/src/bayhoist-gate/memory.c
+++ b/src/bayhoist-gate/memory.c
@@ -231,7 +231,7 @@
 }
 
 /* Records that the primary engine has sent data. `h` may be NULL. */
-void memory_hold_note_heard(MemoryHold *h)
+void memory_hold_note_received(MemoryHold *h)
 {
 	if (!h)
 		return;
--- a/src/bayhoist-gate/platform_sync.c
+++ b/src/bayhoist-gate/platform_sync.c
@@ -14,7 +14,7 @@
  * unavailable: 20 reads/s for a store with a capacity of 2,000 reads/s. */
 #define UNAVAILABLE_READS_SHARE 0.01
 
-struct Looks {
+struct PlatformSync {
 	BH__PlatformSyncPort port; /* first member: callbacks cast it to the enclosing structure */
 	Gate *gate;
 	BH__PlatformSync *sync;
@@ -48,9 +48,9 @@
 										   .report_received = report_received_};
 
 /* Creates the platform sync of a gateway. The cluster must have been started. */
-Looks *looks_new(Gate *g)
+PlatformSync *platform_sync_new(Gate *g)
 {
-	Looks *l = g_new0(Looks, 1);
+	PlatformSync *l = g_new0(PlatformSync, 1);
 	BH__PlatformSyncOptions options = options_(g);
 
 	l->port = Port_;
@@ -59,7 +59,7 @@
 	return l;
 }
 
-void looks_delete(Looks *l)
+void platform_sync_delete(PlatformSync *l)
 {
 	if (!l)
 		return;
@@ -67,13 +67,13 @@
 	g_free(l);
 }
 
-BH__PlatformSync *looks_get(const Looks *l)
+BH__PlatformSync *platform_sync_get(const PlatformSync *l)
 {
 	return l->sync;
 }
 
 /* Applies changed settings of the gateway. */
-void looks_follow_settings(Looks *l)
+void platform_sync_apply_settings(PlatformSync *l)
 {
 	BH__PlatformSyncOptions options = options_(l->gate);
 
@@ -92,7 +92,7 @@
 
 static Gate *gate_(BH__PlatformSyncPort *port)
 {
-	return ((Looks *)port)->gate;
+	return ((PlatformSync *)port)->gate;
 }
 
 static void send_(BH__PlatformSyncPort *port, uint64_t node_id, BH__Message *m)
@@ -163,7 +163,7 @@
 
 /* Writes, as metrics, the age and the store version of this node's endpoint table, for how long it has been
  * out of sync, when it next reads the platform itself, and its sync source. */
-void looks_write_status(const Looks *l, struct evbuffer *out)
+void platform_sync_write_status(const PlatformSync *l, struct evbuffer *out)
 {
 	BH__PlatformSyncStatus s = bh__platform_sync_get_status(l->sync);
 	const BH__MemberInfo *info = bh__members_find(cluster_get_members(l->gate->cluster), s.source_node);
--- a/src/bayhoist-gate/schedulers.c
+++ b/src/bayhoist-gate/schedulers.c
@@ -82,7 +82,7 @@
 }
 
 /* Applies the configuration: creates a planner for each service with engines and sets its model. */
-void cluster_follow_routing(Cluster *c, uint64_t now_us)
+void cluster_apply_routing(Cluster *c, uint64_t now_us)
 {
 	const BH__Routing *r = c->gate->routing;
 
@@ -91,7 +91,7 @@
 		if (spec->is_engine)
 			bh__planner_set_model(add_service_(c, spec->name)->planner, &spec->engine);
 	}
-	cluster_follow_registry(c, now_us);
+	cluster_apply_registry(c, now_us);
 	schedulers_apply_membership(c, now_us);
 }
 
@@ -142,7 +142,7 @@
 }
 
 /* Sets the engines of each planner to the registered endpoints of its service. */
-void cluster_follow_registry(Cluster *c, uint64_t now_us)
+void cluster_apply_registry(Cluster *c, uint64_t now_us)
 {
 	BH__Registry *registry = c->gate->registry;
 	GHashTableIter it;
@@ -225,7 +225,7 @@
 
 /* Makes this node record its duties again after the platform's store has been rolled back to an older
  * copy. */
-void cluster_follow_era(Cluster *c)
+void cluster_apply_era(Cluster *c)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -340,11 +340,11 @@
 	p->ask.boot_id = self->boot_id;
 	p->asked_node = s->scheduler ? s->scheduler : self->node_id;
 	g_hash_table_insert(c->by_ask, &p->ask.ask_id, call);
-	cluster_ask_again(c, call);
+	cluster_resend_ask(c, call);
 }
 
 /* Sends the call's pending ask again. */
-void cluster_ask_again(Cluster *c, Call *call)
+void cluster_resend_ask(Cluster *c, Call *call)
 {
 	CallPlace *p = call_get_place(call);
 	BH__Message m = {.type = BH__MESSAGE_ASK};
@@ -353,7 +353,7 @@
 		BH__Ask ask = p->ask;
 		schedulers_process_ask(c, &ask, clock_now_us());
 		cluster_drain_inbox(c);
-		cluster_watch_waiting(c);
+		cluster_schedule_waiting_tick(c);
 		return;
 	}
 	m.as.ask = p->ask;
@@ -391,7 +391,7 @@
 	}
 	bh__planner_process_ask(s->planner, &ask, clock_now_us());
 	cluster_drain_inbox(c);
-	cluster_watch_waiting(c);
+	cluster_schedule_waiting_tick(c);
 }
 
 /* Drops the call's pending ask, if it has one, and withdraws it from the node to which it went. */
@@ -411,7 +411,7 @@
 }
 
 /* Notifies the scheduler that the first event of the answer has been received. */
-void cluster_tell_progress(Cluster *c, Call *call)
+void cluster_notify_progress(Cluster *c, Call *call)
 {
 	CallPlace *p = call_get_place(call);
 
@@ -423,7 +423,7 @@
 
 /* Notifies the scheduler that the engine has just ended a long iteration of `iteration_us`, during which the
  * answer paused. */
-void cluster_tell_pass(Cluster *c, Call *call, uint64_t iteration_us)
+void cluster_notify_iteration(Cluster *c, Call *call, uint64_t iteration_us)
 {
 	BH__Message m = {.type = BH__MESSAGE_ITERATION};
 
--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/sending.c
@@ -170,7 +170,7 @@
 		return;
 	}
 	now_us = clock_now_us();
-	memory_hold_note_heard(c->memory);
+	memory_hold_note_received(c->memory);
 	if (c->x.answer_begun)
 		note_pause_(c, now_us - c->received_us);
 	c->received_us = now_us;
@@ -195,7 +195,7 @@
 	c->longest_pause_us = MAX(c->longest_pause_us, pause_us);
 	if (is_pass && c->passing && c->service->is_engine &&
 		(double)pause_us / 1000 >= pass_ms * LONG_PASS_FACTOR)
-		cluster_tell_pass(c->gate->cluster, c, pause_us);
+		cluster_notify_iteration(c->gate->cluster, c, pause_us);
 }
 
 static void on_end_(void *ctx, OutboundEnd end)
@@ -272,7 +272,7 @@
 			  " target_ms=%u parts=%u",
 			  c->request->meta.request_id, (c->received_us - c->sent_us) / BH__MS_US,
 			  c->place.grant.expected_us / BH__MS_US, c->rule->target_ms, c->place.grant.member_count);
-	cluster_tell_progress(c->gate->cluster, c);
+	cluster_notify_progress(c->gate->cluster, c);
 }
 
 void sending_begin_answer(Call *c)
--- a/src/bayhoist-gate/web.c
+++ b/src/bayhoist-gate/web.c
@@ -211,7 +211,7 @@
 		write_histogram_(out, "first_event_ms", SizeLabel[i], &k->first_event[i]);
 	write_histogram_(out, "grant_wait_ms", "all", &k->grant_wait);
 	write_histogram_(out, "whole_ms", "all", &k->whole);
-	looks_write_status(g->looks, out);
+	platform_sync_write_status(g->looks, out);
 	halls_write_status(g, out);
 	signals_write_status(g, out);
 	cluster_write_status(g->cluster, out);
