--- a/src/bayhoist-gate/signals.c
+++ b/src/bayhoist-gate/signals.c
@@ -55,7 +55,7 @@
 static void process_limit_(Gate *g, BH__RegisteredEndpoint *e, const AnswerOrigin *o, const BH__Signal *s)
 {
 	BH__AdvertisedLimit received = {.in_force = s->state == BH__SIGNAL_PRESENT, .per_s = s->value};
-	double old_per_s = e->signals.named.in_force ? e->signals.named.per_s : -1;
+	double old_per_s = e->signals.advertised.in_force ? e->signals.advertised.per_s : -1;
 
 	if (!received.in_force && !o->is_served)
 		return;
@@ -65,8 +65,8 @@
 	schedulers_apply_limits(g->cluster, e);
 	g->counters.limit_changes++;
 	log_event("limit", "what=%s endpoint=%s per_s=%.3f was=%.3f request=%s",
-			  e->signals.named.in_force ? "named" : "ended", e->entry.id,
-			  e->signals.named.in_force ? e->signals.named.per_s : -1.0, old_per_s, o->request_id);
+			  e->signals.advertised.in_force ? "named" : "ended", e->entry.id,
+			  e->signals.advertised.in_force ? e->signals.advertised.per_s : -1.0, old_per_s, o->request_id);
 }
 
 /* Marks an endpoint as leaving. Only a later start of the endpoint ends this state, because an answer without
@@ -145,7 +145,7 @@
 	}
 	schedulers_apply_limits(((Signals *)port)->cluster, e);
 	log_event("limit", "what=told endpoint=%s per_s=%.3f", e->entry.id,
-			  e->signals.named.in_force ? e->signals.named.per_s : -1.0);
+			  e->signals.advertised.in_force ? e->signals.advertised.per_s : -1.0);
 }
 
 /* Runs the periodic work of the signal relay. */
