--- a/src/bayhoist-gate/call_internal.h
+++ b/src/bayhoist-gate/call_internal.h
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What call.c and sending.c share: one caller's request. */
+/* The state of one caller's request, shared by call.c and sending.c. */
 #ifndef BAYHOIST_CALL_INTERNAL_H
 #define BAYHOIST_CALL_INTERNAL_H
 
@@ -7,12 +7,12 @@
 #include "gate.h"
 
 typedef enum {
-	CALL_STARTING,  /* waits until the node knows the configuration and the endpoints */
-	CALL_ASKING,    /* waits for engines */
-	CALL_RESERVING, /* waits for memory on them */
-	CALL_PERMIT,    /* waits for leave to send to an endpoint that is limited, or until it may */
-	CALL_SUSPECTED, /* waits until the crash that it met has been judged */
-	CALL_SENDING    /* an endpoint has it */
+	CALL_STARTING,  /* waits until the node's startup state is complete, or the wait for it ends */
+	CALL_ASKING,    /* waits for the scheduler to grant engines */
+	CALL_RESERVING, /* waits for the memory reservation on the granted engines */
+	CALL_PERMIT,    /* waits for a permit of a rate-limited endpoint, or for the time that the permit names */
+	CALL_SUSPECTED, /* waits until the crash that it met has been evaluated */
+	CALL_SENDING    /* dispatched to an endpoint */
 } CallState;
 
 struct Call {
@@ -22,36 +22,36 @@
 	BH__Routing *routing;
 	const BH__RouteRule *rule;
 	const BH__ServiceSpec *service;
-	const BH__KeyOwner *owner;   /* NULL: none */
-	BH__Fingerprint fingerprint; /* the same in each try of the same request */
-	BH__RetryState x;
+	const BH__KeyOwner *owner;   /* account of the caller's API key; NULL: none */
+	BH__Fingerprint fingerprint; /* identical for each caller retry of the same request */
+	BH__RetryState x;            /* retry state */
 	CallState state;
-	CallPlace place;
-	bool queued;
-	bool told_queued;       /* in the log */
-	unsigned unused_grants; /* that had to be given back */
-	uint64_t asked_us;
-	uint64_t permit_endpoint;  /* to which it is to be sent with leave */
-	uint64_t send_at_us;       /* with that leave; 0: it has none yet */
-	uint64_t suspected_us;     /* since when it waits for that */
-	uint64_t waited_before_us; /* by its caller, before this try */
-	MemoryHold *memory;
-	Outbound *out;
-	uint64_t endpoint_id;
-	uint64_t endpoint_life; /* see bh__registry_note_start() */
-	uint64_t sent_us;
-	uint32_t pauses;           /* of the sending that is under way, between what came of the answer */
-	uint64_t longest_pause_us; /* between what the endpoints sent of the answer */
-	uint64_t heard_us;         /* when the endpoint last sent something of the answer */
-	bool judged;               /* the sending's end is known before its connection's */
-	BH__DispatchEnd judgement;
-	OutboundHead head;     /* of the answer; `headers` is our own copy */
-	struct evbuffer *body; /* of an answer that is kept until it is whole; or the rest of an event */
-	bool passing;          /* the answer goes on as it comes */
-	bool told_progress;    /* the scheduler knows that this sending's answer has begun */
-	BH__EventStream events;
-	bool paused;
-	bool was_broken; /* a sending that an endpoint broke off was reported */
+	CallPlace place;           /* admission state */
+	bool queued;               /* the scheduler keeps the ask waiting */
+	bool told_queued;          /* the queueing has been logged */
+	unsigned unused_grants;    /* number of grants returned unused */
+	uint64_t asked_us;         /* when the last ask was sent, or the last sign of the scheduler received */
+	uint64_t permit_endpoint;  /* endpoint that a permit is asked for */
+	uint64_t send_at_us;       /* when the permit allows the dispatch; 0: no permit yet */
+	uint64_t suspected_us;     /* when CALL_SUSPECTED began */
+	uint64_t waited_before_us; /* estimate of how long the caller waited in earlier tries */
+	MemoryHold *memory;        /* memory reserved on helpers; NULL: none */
+	Outbound *out;             /* connection of the current dispatch; NULL: none */
+	uint64_t endpoint_id;      /* endpoint of the current or last dispatch */
+	uint64_t endpoint_life;    /* incarnation of that endpoint, see bh__registry_note_start() */
+	uint64_t sent_us;          /* when the current or last dispatch began */
+	uint32_t pauses;           /* number of gaps between received parts of the current dispatch's answer */
+	uint64_t longest_pause_us; /* longest such gap of all dispatches */
+	uint64_t heard_us;         /* when the endpoint last sent a part of the answer, or the dispatch began */
+	bool judged;               /* the dispatch's end is known before its connection ends */
+	BH__DispatchEnd judgement; /* that end; valid if `judged` */
+	OutboundHead head;         /* head of the answer; `headers` is a copy that the call owns */
+	struct evbuffer *body;     /* answer buffered until it is complete, or the incomplete event of a stream */
+	bool passing;              /* the answer is a stream, forwarded event by event */
+	bool told_progress;     /* the answer of the current dispatch has begun, and the scheduler was notified */
+	BH__EventStream events; /* parser state of the event stream */
+	bool paused;            /* reading from the endpoint is paused until the caller has caught up */
+	bool was_broken;        /* a dispatch that an endpoint broke off was reported to crashes.c */
 	struct event *timer;
 };
 
--- a/src/bayhoist-gate/early_asks.c
+++ b/src/bayhoist-gate/early_asks.c
@@ -1,32 +1,34 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Asks that come to this node before it may decide: it does not know the endpoints yet, is taking over, or
- * does not schedule the service as far as it knows. */
+/* Deferred asks: admission requests that this node receives while it may not schedule their service, because
+ * it does not know the endpoints yet, is taking the service over, or does not hold the duty in its own view.
+ */
 #include "clock.h"
 #include "cluster_internal.h"
 
-#define EARLY_MAX 4096 /* asks that are kept */
+#define DEFERRED_MAX 4096 /* deferred asks at most; further ones are dropped */
 
-/* An ask that waits until this node may decide. */
+/* An admission request that waits until this node may schedule. */
 typedef struct {
 	BH__Ask ask;
-	uint64_t arrived_us;
+	uint64_t arrived_us; /* when this node received it */
 } EarlyAsk;
 
-static bool may_decide_(const Cluster *c, const Service *s, uint64_t now_us);
-static GList *find_early_(Cluster *c, uint64_t ask_id);
+static bool may_schedule_(const Cluster *c, const Service *s, uint64_t now_us);
+static GList *find_deferred_(Cluster *c, uint64_t ask_id);
 
-/* A node asks where a request is to go. An ask that comes before this node knows the endpoints, or while it
- * takes over, waits for that. */
+/* Processes a node's admission request: hands it to the planner, or defers it if this node may not schedule
+ * the service yet and notifies the sender that it is queued. A repeated ask that is deferred already, and one
+ * beyond DEFERRED_MAX, is ignored. */
 void schedulers_process_ask(Cluster *c, const BH__Ask *ask, uint64_t now_us)
 {
 	Service *s = schedulers_find(c, ask->pool_id);
 	EarlyAsk *e;
 
-	if (may_decide_(c, s, now_us)) {
+	if (may_schedule_(c, s, now_us)) {
 		bh__planner_process_ask(s->planner, ask, now_us);
 		return;
 	}
-	if (find_early_(c, ask->ask_id) || g_queue_get_length(&c->early) >= EARLY_MAX)
+	if (find_deferred_(c, ask->ask_id) || g_queue_get_length(&c->early) >= DEFERRED_MAX)
 		return;
 	e = g_new0(EarlyAsk, 1);
 	e->ask = *ask;
@@ -35,14 +37,15 @@
 	schedulers_say_queued(c, ask);
 }
 
-/* Returns true if this node's planner may answer asks of the nodes: it knows the engines and their work. */
-static bool may_decide_(const Cluster *c, const Service *s, uint64_t now_us)
+/* Returns true if this node's planner may answer asks: the endpoints are known, and a takeover of the service
+ * has ended, so that the planner also knows the work already granted. */
+static bool may_schedule_(const Cluster *c, const Service *s, uint64_t now_us)
 {
 	return s && gate_knows_endpoints(c->gate) && bh__takeover_is_done(&s->takeover, c->members, now_us);
 }
 
-/* Returns the place in the queue of an ask that waits, or NULL. */
-static GList *find_early_(Cluster *c, uint64_t ask_id)
+/* Returns the queue element of a deferred ask, or NULL if the ask is not deferred. */
+static GList *find_deferred_(Cluster *c, uint64_t ask_id)
 {
 	for (GList *it = c->early.head; it; it = it->next)
 		if (((const EarlyAsk *)it->data)->ask.ask_id == ask_id)
@@ -50,10 +53,10 @@
 	return NULL;
 }
 
-/* Drops an ask that waits, if it does. */
+/* Removes an ask from the queue. Does nothing if it is not deferred. */
 void schedulers_drop_early(Cluster *c, uint64_t ask_id)
 {
-	GList *it = find_early_(c, ask_id);
+	GList *it = find_deferred_(c, ask_id);
 
 	if (!it)
 		return;
@@ -61,15 +64,16 @@
 	g_queue_delete_link(&c->early, it);
 }
 
-/* Looks at the asks that waited. One that came to a node which does not schedule is answered all the same, if
- * that has not changed soon: its sender knows no better one. */
+/* Hands the deferred asks that may be answered by now to their planners. An ask that has waited for
+ * BH__TAKEOVER_MAX_US is answered even if this node still does not hold the duty, since its sender knows no
+ * better scheduler. */
 void schedulers_process_early(Cluster *c, uint64_t now_us)
 {
 	for (guint n = g_queue_get_length(&c->early); n > 0; n--) {
 		EarlyAsk *e = g_queue_pop_head(&c->early);
 		Service *s = schedulers_find(c, e->ask.pool_id);
 		bool is_old = now_us >= e->arrived_us + BH__TAKEOVER_MAX_US;
-		if (may_decide_(c, s, now_us) || (is_old && s && gate_knows_endpoints(c->gate))) {
+		if (may_schedule_(c, s, now_us) || (is_old && s && gate_knows_endpoints(c->gate))) {
 			bh__planner_process_ask(s->planner, &e->ask, now_us);
 			g_free(e);
 		}
@@ -79,7 +83,7 @@
 	}
 }
 
-/* This node knows the endpoints: asks that waited for that are looked at. */
+/* Processes the deferred asks and the inbox once this node knows the endpoints. */
 void cluster_process_early(Cluster *c)
 {
 	schedulers_process_early(c, clock_now_us());
--- a/src/bayhoist-gate/planner_port.c
+++ b/src/bayhoist-gate/planner_port.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What the planners say goes out as messages, to this node itself as to the others; reports that they want
- * are asked of the engines. */
+/* The port between the planners and the cluster: sends a planner's decisions as messages, to other nodes and
+ * to this node alike, and fetches the engine reports that a planner requests. */
 #include "clock.h"
 #include "cluster_internal.h"
 #include "log.h"
@@ -10,9 +10,9 @@
 static void on_queued_(BH__PlannerPort *port, const BH__Ask *ask);
 static void on_abandoned_(BH__PlannerPort *port, const BH__Grant *g);
 static void on_inspect_(BH__PlannerPort *port, uint64_t endpoint_id);
-static void on_pace_(void *inspection, double slowdown);
+static void on_slowdown_(void *inspection, double slowdown);
 
-/* Fills in what a planner calls. */
+/* Fills in the callbacks of a planner's port. The port must be the first member of a Service. */
 void schedulers_set_port(BH__PlannerPort *port)
 {
 	*port = (BH__PlannerPort){.grant = on_grant_,
@@ -22,7 +22,7 @@
 							  .inspect = on_inspect_};
 }
 
-/* Tells a node that its ask waits here. */
+/* Notifies the node that sent an ask that the ask is queued here. */
 void schedulers_say_queued(Cluster *c, const BH__Ask *ask)
 {
 	BH__Message m = {.type = BH__MESSAGE_QUEUED};
@@ -32,7 +32,7 @@
 	cluster_send(c, ask->node_id, &m);
 }
 
-/* A grant goes to the node that asked. */
+/* Sends a grant to the node that asked. */
 static void on_grant_(BH__PlannerPort *port, const BH__Grant *g)
 {
 	BH__Message m = {.type = BH__MESSAGE_GRANT};
@@ -41,6 +41,7 @@
 	cluster_send(((Service *)port)->cluster, g->node_id, &m);
 }
 
+/* Sends a refusal to the node that asked. `retry_after_ms`: when the caller may come back. */
 static void on_refuse_(BH__PlannerPort *port, const BH__Ask *ask, BH__Reason reason, uint64_t retry_after_ms)
 {
 	BH__Message m = {.type = BH__MESSAGE_REFUSE};
@@ -52,23 +53,27 @@
 	cluster_send(((Service *)port)->cluster, ask->node_id, &m);
 }
 
+/* Notifies the node that asked that the planner keeps its ask waiting. */
 static void on_queued_(BH__PlannerPort *port, const BH__Ask *ask)
 {
 	schedulers_say_queued(((Service *)port)->cluster, ask);
 }
 
+/* Frees the engine memory of a grant that its node abandoned. */
 static void on_abandoned_(BH__PlannerPort *port, const BH__Grant *g)
 {
 	memory_free_abandoned(((Service *)port)->cluster->gate, g);
 }
 
-/* An engine whose report was asked for. */
+/* A report request that is outstanding: the pool and the engine that it concerns. */
 typedef struct {
 	Cluster *cluster;
 	uint64_t pool_id;
 	uint64_t endpoint_id;
 } Inspection;
 
+/* Requests an engine's report. Does nothing if the engine takes no work or this node is not the scheduler of
+ * the service. */
 static void on_inspect_(BH__PlannerPort *port, uint64_t endpoint_id)
 {
 	Service *s = (Service *)port;
@@ -85,10 +90,12 @@
 	i->pool_id = bh__planner_get_id(s->planner);
 	i->endpoint_id = endpoint_id;
 	to = (EndpointRef){.address = e->entry.address, .endpoint_id = e->endpoint_id, .life = e->life};
-	g->port->report(g, &to, on_pace_, i);
+	g->port->report(g, &to, on_slowdown_, i);
 }
 
-static void on_pace_(void *inspection, double slowdown)
+/* Takes the slowdown factor of an engine's report (1: as fast as its model; 0: no answer) and frees
+ * `inspection`. The pool may be gone by then. */
+static void on_slowdown_(void *inspection, double slowdown)
 {
 	Inspection *i = inspection;
 	Service *s = schedulers_find(i->cluster, i->pool_id);
--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/sending.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* One sending of a request to an endpoint: what is written to it, what its answer is worth, and how that is
- * passed on. */
+/* One dispatch of a request to an endpoint: writes the request, classifies the answer, and forwards it to the
+ * caller. */
 #include "call_internal.h"
 
 #include <string.h>
@@ -8,10 +8,12 @@
 #include "crashes.h"
 #include "log.h"
 
-#define WHOLE_MAX (256 * 1024) /* bytes of an answer that are kept until it is whole, at most */
-/* A pause as long as so many passes without reading is told of to the scheduler. */
+/* Bytes of an answer that are buffered at most; a longer one is forwarded before it is complete. */
+#define WHOLE_MAX (256 * 1024)
+/* A gap in an answer is reported to the scheduler if it lasts at least this many engine iterations without
+ * prefill. */
 #define LONG_PASS_FACTOR 2.0
-#define CAUSE_MAX 100 /* bytes of an endpoint's words on why it did not run a request that go to the log */
+#define CAUSE_MAX 100 /* bytes of a refusal's body that are logged at most */
 
 static void log_send_(const Call *c, const BH__RegisteredEndpoint *e);
 static void write_request_(Call *c, const BH__RegisteredEndpoint *e, struct evbuffer *out);
@@ -32,7 +34,8 @@
 
 static const OutboundCallbacks Callbacks_ = {.on_head = on_head_, .on_body = on_body_, .on_end = on_end_};
 
-/* Sends the request to an endpoint, which must be registered. */
+/* Dispatches the request to an endpoint, which must be registered. Resets the state of the last dispatch;
+ * what has come of an earlier answer's event stream stays, so that it can be resumed. */
 void sending_start(Call *c, uint64_t endpoint_id)
 {
 	Gate *g = c->gate;
@@ -57,6 +60,7 @@
 	call_set_timer(c, c->sent_us);
 }
 
+/* Logs a dispatch with its helpers; "/memory" marks a helper that holds reserved memory. */
 static void log_send_(const Call *c, const BH__RegisteredEndpoint *e)
 {
 	const BH__Grant *g = &c->place.grant;
@@ -78,7 +82,8 @@
 	g_string_free(helpers, TRUE);
 }
 
-/* Writes the request as the endpoint is to get it. */
+/* Writes the HTTP request for the endpoint: the caller's headers that are passed through, the platform's own
+ * ones, and the body. */
 static void write_request_(Call *c, const BH__RegisteredEndpoint *e, struct evbuffer *out)
 {
 	const InboundRequest *r = c->request;
@@ -100,8 +105,8 @@
 	evbuffer_add(out, r->body->data, r->body->len);
 }
 
-/* Names the engines that help read the prompt, but for those that have begun to leave. Those with memory come
- * first, since it is filled in their order. */
+/* Lists the grant's helpers, which prefill parts of the prompt, except those that take no work any more.
+ * Helpers with reserved memory come first, because their memory is filled in this order. */
 static void fill_helpers_(const Call *c, SendingMeta *s)
 {
 	const BH__Grant *g = &c->place.grant;
@@ -122,7 +127,8 @@
 	}
 }
 
-/* The head of an answer came. */
+/* Processes the head of an answer: classifies it, takes the endpoint's load and signals, and decides whether
+ * the answer is forwarded as a stream. */
 static void on_head_(void *ctx, const OutboundHead *head)
 {
 	Call *c = ctx;
@@ -141,8 +147,8 @@
 	call_set_timer(c, c->heard_us);
 }
 
-/* Takes the signals of the answer's endpoint. An answer that another endpoint at its address gave says
- * nothing of it. */
+/* Records the endpoint signals in an answer's head. Skips an answer that another endpoint at the same address
+ * gave, since it says nothing about this one, and one whose status means that the request did not run. */
 static void note_signals_(const Call *c)
 {
 	const AnswerMeta *m = &c->head.meta;
@@ -159,13 +165,15 @@
 		signals_note_answer(c->gate, &origin, m);
 }
 
+/* Processes a part of the answer's body: forwards it, or buffers it up to WHOLE_MAX bytes. Of an answer whose
+ * head has already decided the dispatch's end, only the first bytes are kept, for the log. */
 static void on_body_(void *ctx, const char *data, size_t len)
 {
 	Call *c = ctx;
 	uint64_t now_us;
 
 	if (c->judged) {
-		if (!evbuffer_get_length(c->body)) /* for the log */
+		if (!evbuffer_get_length(c->body))
 			evbuffer_add(c->body, data, MIN(len, (size_t)CAUSE_MAX));
 		return;
 	}
@@ -185,8 +193,9 @@
 	}
 }
 
-/* The answer has paused: if that was for a pass of the engine in which it read, its scheduler hears of it.
- * The first pause of an answer to a prompt that several engines read is not one pass (see placement.c). */
+/* Records a gap of `pause_us` in an answer. Reports it to the scheduler if it is long enough for an engine
+ * iteration with prefill. The first gap of an answer to a prompt that several engines prefill is not one
+ * iteration (see placement.c), so it isn't reported. */
 static void note_pause_(Call *c, uint64_t pause_us)
 {
 	double pass_ms = bh__engine_model_iteration_ms(&c->service->engine, 1, 0);
@@ -198,6 +207,7 @@
 		cluster_tell_pass(c->gate->cluster, c, pause_us);
 }
 
+/* Ends the dispatch when its connection has ended. The end that the head has decided takes precedence. */
 static void on_end_(void *ctx, OutboundEnd end)
 {
 	Call *c = ctx;
@@ -206,7 +216,9 @@
 	sending_end(c, c->judged ? c->judgement : judge_end_(c, end));
 }
 
-/* Judges what the head alone tells. `*judged` is false if that is nothing. */
+/* Classifies a dispatch by the head of its answer: refused, or broken if the answer belongs to another
+ * request or has no proof that an endpoint gave it. Sets `*judged` to false if the head alone doesn't decide;
+ * the result is meaningless then. */
 static BH__DispatchEnd judge_head_(const Call *c, bool *judged)
 {
 	const AnswerMeta *m = &c->head.meta;
@@ -223,6 +235,8 @@
 	return BH__DISPATCH_BROKEN;
 }
 
+/* Classifies a dispatch whose head did not decide its end, by the end of its connection and by the status. A
+ * stream that ends within an event is broken. */
 static BH__DispatchEnd judge_end_(const Call *c, OutboundEnd end)
 {
 	if (end == OUTBOUND_UNREACHABLE)
@@ -232,7 +246,7 @@
 	return c->head.status >= 500 ? BH__DISPATCH_FAILED : BH__DISPATCH_ANSWERED;
 }
 
-/* Passes on the events that are whole. */
+/* Forwards the complete events in the buffer, except those that the caller already has. */
 static void pass_events_(Call *c)
 {
 	size_t len = evbuffer_get_length(c->body);
@@ -251,6 +265,8 @@
 	call_set_timer(c, c->heard_us);
 }
 
+/* Forwards answer data to the caller, beginning the answer if necessary. Pauses reading from the endpoint if
+ * the caller's connection can't take more. */
 static void pass_on_(Call *c, const char *data, size_t len)
 {
 	if (!c->told_progress && c->service->is_engine)
@@ -264,7 +280,7 @@
 	}
 }
 
-/* The answer has begun: the scheduler is told. */
+/* Logs that an engine's answer has begun and notifies the scheduler. */
 static void tell_progress_(Call *c)
 {
 	log_event("first-event",
@@ -275,6 +291,7 @@
 	cluster_tell_progress(c->gate->cluster, c);
 }
 
+/* Sends the head of the answer to the caller; from then on the request can't be answered otherwise. */
 void sending_begin_answer(Call *c)
 {
 	uint64_t wait_us = c->heard_us - c->request->arrived_us;
@@ -288,7 +305,8 @@
 	inbound_answer_begin(c->in, c->head.status, c->head.reason, c->head.headers);
 }
 
-/* A sending is over: what it held is given back, and the next step taken. */
+/* Ends the current dispatch with the given result: cancels its connection if it is still open, releases its
+ * grant and memory, and takes the next action. May free the call. */
 void sending_end(Call *c, BH__DispatchEnd end)
 {
 	Gate *g = c->gate;
@@ -324,8 +342,9 @@
 	call_act(c, next);
 }
 
-/* Tells what the end of a sending says of the request: an endpoint that broke off, or a helper that is gone,
- * may have crashed under it. An answer that is not the caller's is no such sign, since its endpoint lives. */
+/* Reports the end of a dispatch to crashes.c: a completed answer, or a possible crash of an endpoint that
+ * broke off or of a helper that is gone. An answer to another request is no sign of a crash, since its
+ * endpoint is alive. */
 static void report_(Call *c, BH__DispatchEnd end, uint64_t at_fault)
 {
 	Crashes *crashes = c->gate->crashes;
@@ -340,8 +359,8 @@
 	crashes_note_broken(crashes, c->service->name, at_fault, &c->fingerprint, helper_gone);
 }
 
-/* Returns the endpoint that a refusal names as its cause, which may be a helper; else the one that refused.
- */
+/* Returns the id of the endpoint that a refusal names as its cause, which may be a helper, or of the endpoint
+ * that refused if none or an unknown one is named. */
 static uint64_t find_at_fault_(const Call *c)
 {
 	const BH__RegisteredEndpoint *e = NULL;
@@ -351,6 +370,7 @@
 	return e ? e->endpoint_id : c->endpoint_id;
 }
 
+/* Logs the end of a dispatch and the next action; for a refusal with the first bytes of its body. */
 static void log_sending_(const Call *c, BH__DispatchEnd end, BH__NextAction next, uint64_t now_us)
 {
 	const BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, c->endpoint_id);
@@ -370,7 +390,7 @@
 			  c->events.events, cause);
 }
 
-/* The caller has read what waited for it. */
+/* Resumes reading from the endpoint once the caller has taken the data that was queued for it. */
 void call_on_drained(Call *c)
 {
 	if (!c->paused || !c->out)
