--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -1,7 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The life of one caller's request: it is matched with a route, placed, sent, and answered. What may be sent
- * again is decided in the library's exchange.c; where engines' work goes, by the planner behind
- * schedulers.c; each sending and its answer are in sending.c. */
+/* The state machine of one caller's request: matches it with a route, places it, dispatches it and answers
+ * the caller. The library's retry_state.c decides whether it may be dispatched again, the planner behind
+ * schedulers.c which engines run it; each dispatch and its answer are in sending.c. */
 #include "call_internal.h"
 
 #include <string.h>
@@ -10,32 +10,37 @@
 #include "crashes.h"
 #include "log.h"
 
-/* Without a word from the scheduler a request is placed by this node alone. */
-#define SCHEDULER_PATIENCE_MS 40
-#define QUEUED_REPEAT_MS 200 /* a request that the scheduler keeps waiting asks again after this */
-/* Leave to send to an endpoint that is limited holds for so long: what was counted in one second is not to
- * come in another. */
-#define PERMIT_FRESH_MS 500
-/* A request may wait for that in this share of the time left to its target; the rest is for the answer. */
+/* A request whose scheduler has not answered within this time is placed by this node itself. */
+#define SCHEDULER_MAX_WAIT_MS 40
+#define QUEUED_REPEAT_MS 200 /* interval at which a queued request repeats its ask */
+/* A permit for a rate-limited endpoint is valid for this time, so that a request counted in one second isn't
+ * sent in another. */
+#define PERMIT_VALID_MS 500
+/* Share of the time left to the first-token target for which a request may wait for a permit; the rest is for
+ * the answer. */
 #define PERMIT_WAIT_SHARE 0.5
-#define UNUSED_GRANTS_MAX 5 /* after more grants than these that could not be used a request is refused */
-#define HELD_MESSAGE "endpoints have crashed each time they ran this request; it is not sent to any for now"
-/* A request that has met a third crash is sent again once that has been judged: the look at the endpoint and
- * the reports of others take 60 ms and a few hops. Sent at once it met a fourth one 30 ms later. */
-#define JUDGEMENT_MS 120
-#define RETRY_SOON_MS 200 /* when a caller that was refused for a passing cause is to come back */
-/* The same while no node knows the configuration. Callers wait for a third of the time they have left at
- * most; on the users' routes that is 0.8 to 5 s. */
+#define UNUSED_GRANTS_MAX 5 /* a request that has had more unusable grants than this is refused */
+#define QUARANTINED_MESSAGE                                                                                  \
+	"endpoints have crashed each time they ran this request; it is not sent to any for now"
+/* Time allowed for evaluating a crash before the request is sent again: the liveness probe of the endpoint
+ * and the reports of other nodes take 60 ms and a few hops. A request that had met three crashes and was sent
+ * again at once met a fourth one 30 ms later. */
+#define EVALUATION_MAX_MS 120
+#define RETRY_SOON_MS 200 /* retry-after of a refusal whose cause is brief */
+/* Retry-after while no node knows the configuration. Callers wait for at most a third of the time they have
+ * left; on the users' routes that is 0.8 to 5 s. */
 #define RETRY_OUTAGE_MIN_MS 1000
 #define RETRY_OUTAGE_MAX_MS 3000
-/* The same while a service has endpoints only where halls drain: as long as that has lasted. */
+/* Retry-after while a service has endpoints only in halls that drain: as long as that has lasted, within
+ * these bounds. */
 #define RETRY_DRAIN_MIN_MS 1000
 #define RETRY_DRAIN_MAX_MS 10000
-#define BYTES_PER_TOKEN 4 /* of a prompt whose tokens the caller doesn't tell */
-#define DEFAULT_ANSWER_TOKENS 1000
-#define WRITE_FACTOR 2  /* a token takes up to so many steps, between the reading of other prompts */
-#define LIKELY_FACTOR 2 /* answers are up to so many times as long as the caller guesses */
-#define LIKELY_EXTRA_TOKENS 200
+#define BYTES_PER_TOKEN 4          /* estimate for a prompt whose token count the caller doesn't give */
+#define DEFAULT_ANSWER_TOKENS 1000 /* longest answer assumed if the caller gives no maximum */
+#define GENERATE_FACTOR                                                                                      \
+	2 /* a token takes up to this many decode steps while the engine prefills other prompts */
+#define ESTIMATE_FACTOR 2         /* an answer is up to this many times as long as the caller estimates */
+#define ESTIMATE_EXTRA_TOKENS 200 /* and up to this many tokens longer in addition */
 
 static const char *const StateString_[] = {"starting", "asking",    "reserving",
 										   "permit",   "suspected", "sending"};
@@ -43,25 +48,25 @@
 static void begin_(Call *c);
 static bool admit_(Call *c);
 static BH__Fingerprint fingerprint_(const Call *c);
-static uint64_t retry_uninformed_ms_(const Gate *g, uint64_t now_us);
+static uint64_t retry_no_configuration_ms_(const Gate *g, uint64_t now_us);
 static uint64_t retry_no_endpoint_ms_(const Call *c);
 static RouteTimes *route_times_(const Call *c);
 static BH__AnswerTime *answer_time_(const Call *c);
 static uint64_t answer_tokens_(const Call *c);
-static double write_ms_(const Call *c);
+static double generate_ms_(const Call *c);
 static uint64_t expected_answer_us_(const Call *c);
 static void refuse_(Call *c, int status, uint64_t retry_after_ms, const char *code, const char *message);
-static void place_(Call *c);
-static void give_up_no_endpoint_(Call *c);
+static void find_endpoint_(Call *c);
+static void abandon_no_endpoint_(Call *c);
 static void ask_permit_(Call *c, const BH__RegisteredEndpoint *e);
 static void use_permit_(Call *c);
 static bool is_stale_(uint64_t counted_us);
-static bool give_up_held_(Call *c);
-static bool give_up_stopping_(Call *c);
+static bool abandon_quarantined_(Call *c);
+static bool abandon_stopping_(Call *c);
 static uint64_t retry_stopping_ms_(const Gate *g, uint64_t now_us);
 static uint64_t longest_answer_us_(const Call *c);
-static void send_(Call *c, uint64_t endpoint_id);
-static void give_up_(Call *c, uint64_t retry_after_ms, const char *code, const char *message);
+static void dispatch_(Call *c, uint64_t endpoint_id);
+static void abandon_(Call *c, uint64_t retry_after_ms, const char *code, const char *message);
 static void ask_(Call *c);
 static void fill_ask_(Call *c);
 static void fill_backoffs_(Call *c);
@@ -71,15 +76,16 @@
 static uint64_t find_unusable_(const Call *c);
 static void return_grant_(Call *c, uint64_t unusable_endpoint);
 static void on_memory_(void *ctx, bool held);
-static void send_again_(Call *c);
-static void pass_failure_(Call *c);
+static void retry_(Call *c);
+static void relay_failure_(Call *c);
 static void finish_(Call *c, CallOutcome outcome, const char *reason);
 static uint64_t overdue_us_(const Call *c);
 static uint64_t starting_until_us_(const Call *c);
 static void on_timer_(evutil_socket_t fd, short what, void *arg);
 static void check_time_(Call *c, uint64_t now_us);
 
-/* Takes a request. Returns its call, or NULL if it has been answered already. */
+/* Creates the call of a caller's request and begins it, or lets it wait for the startup state. Returns the
+ * call, or NULL if the request has been answered already and the call is freed. */
 Call *call_start(Gate *g, Inbound *in)
 {
 	Call *c = g_new0(Call, 1);
@@ -96,22 +102,23 @@
 		call_set_timer(c, clock_now_us());
 	else
 		begin_(c);
-	/* the call may have ended meanwhile */
+	/* begin_() may have ended and freed the call */
 	return g_hash_table_contains(g->calls, c) ? c : NULL;
 }
 
-/* Begins with a request: the node knows where it goes, or is not to wait until it does. */
+/* Admits and places a request, once the startup state is complete or no longer waited for. May free the call.
+ */
 static void begin_(Call *c)
 {
 	c->state = CALL_ASKING;
 	if (!admit_(c))
 		return;
 	bh__service_retry_budget_note_request(gate_get_budget(c->gate, c->service->name));
-	place_(c);
+	find_endpoint_(c);
 }
 
-/* The node has learnt of the configuration, the endpoints or the duties, or in vain tried to: requests that
- * wait for these begin. */
+/* Processes a change of the startup state: the configuration, the endpoints or the duties have been read, or
+ * a read has failed. Begins the calls in CALL_STARTING unless a part of that state is still on its way. */
 void calls_process_news(Gate *g)
 {
 	BH__StartupProgress state;
@@ -132,7 +139,8 @@
 	g_list_free(all);
 }
 
-/* Matches the request with a route and an account. Returns false if it was refused; the call is gone then. */
+/* Matches the request with a route, an account and a service, and computes its deadline. Returns false if the
+ * request was refused; the call is freed then. */
 static bool admit_(Call *c)
 {
 	Gate *g = c->gate;
@@ -148,7 +156,7 @@
 				  " trust_ms=%" G_GUINT64_FORMAT,
 				  r->meta.request_id, g->routing ? (now_us - g->routing_looked_us) / BH__MS_US : 0,
 				  g->settings.key_trust_ms);
-		refuse_(c, 503, retry_uninformed_ms_(g, now_us), "no-configuration",
+		refuse_(c, 503, retry_no_configuration_ms_(g, now_us), "no-configuration",
 				"this node does not know the newest configuration");
 		return false;
 	}
@@ -188,7 +196,7 @@
 	return true;
 }
 
-/* Returns what the request has in common with each other try of it. */
+/* Returns the request's fingerprint, which is the same for each caller retry. */
 static BH__Fingerprint fingerprint_(const Call *c)
 {
 	const InboundRequest *r = c->request;
@@ -201,10 +209,11 @@
 	return bh__fingerprint_compute(&source);
 }
 
-/* Returns when a caller is to come back to a node that does not know the newest configuration: soon if others
- * do, else after as long as it has not been known, since outages that have lasted go on. Callers that are
- * told 200 ms in an outage of 0.6 s come back into it, and most of them have no third try. */
-static uint64_t retry_uninformed_ms_(const Gate *g, uint64_t now_us)
+/* Returns the retry-after in milliseconds for a node that does not know the newest configuration: short if
+ * another node knows one, otherwise as long as the outage has lasted, within bounds, since a long outage
+ * tends to go on. In an outage of 0.6 s, callers that are sent away for 200 ms come back into it, and most of
+ * them have no third try. */
+static uint64_t retry_no_configuration_ms_(const Gate *g, uint64_t now_us)
 {
 	const BH__Members *m = cluster_get_members(g->cluster);
 	uint64_t unknown_ms = (now_us - MAX(g->routing_looked_us, g->started_us)) / BH__MS_US;
@@ -217,7 +226,8 @@
 	return CLAMP(unknown_ms, RETRY_OUTAGE_MIN_MS, RETRY_OUTAGE_MAX_MS);
 }
 
-/* Returns when a caller is to come back whose service has no endpoint that can be used. */
+/* Returns the retry-after in milliseconds for a service without a usable endpoint: until an endpoint takes
+ * requests again if that time is known, otherwise by how long its halls have drained. */
 static uint64_t retry_no_endpoint_ms_(const Call *c)
 {
 	uint64_t now_us = clock_now_us();
@@ -231,7 +241,7 @@
 	return CLAMP((now_us - since_us) / BH__MS_US, RETRY_DRAIN_MIN_MS, RETRY_DRAIN_MAX_MS);
 }
 
-/* Returns what is known of the times of the request's route. */
+/* Returns the observed times of the request's route; creates the record for a new route. */
 static RouteTimes *route_times_(const Call *c)
 {
 	GHashTable *all = c->gate->route_times;
@@ -245,37 +255,37 @@
 	return t;
 }
 
-/* Returns what is known of how long answers to such prompts of the request's route take, from their sending
- * to their end. */
+/* Returns the observed times from dispatch to end of answers, for the request's route and size of prompt. */
 static BH__AnswerTime *answer_time_(const Call *c)
 {
 	return &route_times_(c)->answer[bh__size_class(c->request->meta.prompt_tokens)];
 }
 
-/* Returns how long the answer may be, in tokens, by what the caller allows and guesses. */
+/* Returns an upper bound of the answer's length in tokens, by the caller's maximum and estimate. */
 static uint64_t answer_tokens_(const Call *c)
 {
 	const RequestMeta *m = &c->request->meta;
 	uint64_t most = m->max_tokens ? m->max_tokens : DEFAULT_ANSWER_TOKENS;
 
-	return m->likely_tokens ? MIN(most, m->likely_tokens * LIKELY_FACTOR + LIKELY_EXTRA_TOKENS) : most;
+	return m->likely_tokens ? MIN(most, m->likely_tokens * ESTIMATE_FACTOR + ESTIMATE_EXTRA_TOKENS) : most;
 }
 
-/* Returns how long an engine takes to write such an answer if it has nothing else to do; 0 for other
- * endpoints. */
-static double write_ms_(const Call *c)
+/* Returns how long an idle engine takes to generate an answer of answer_tokens_() tokens, in milliseconds; 0
+ * for other endpoints. */
+static double generate_ms_(const Call *c)
 {
 	return c->service->is_engine ? (double)answer_tokens_(c) * c->service->engine.step_ms : 0;
 }
 
-/* Returns how long the answer is expected to take from its sending to its end: until its target it begins,
- * and then it is written. */
+/* Returns the expected time from dispatch to the end of the answer, in microseconds: the time to the
+ * first-token target plus the time to generate the answer. At least 1. */
 static uint64_t expected_answer_us_(const Call *c)
 {
-	return (uint64_t)MAX(((double)c->rule->target_ms + write_ms_(c)) * BH__MS_US, 1);
+	return (uint64_t)MAX(((double)c->rule->target_ms + generate_ms_(c)) * BH__MS_US, 1);
 }
 
-/* Answers that the request did not run, or can't. */
+/* Refuses a request that has not run with an answer of the gateway's own, and frees the call.
+ * `retry_after_ms` 0: no retry is suggested. */
 static void refuse_(Call *c, int status, uint64_t retry_after_ms, const char *code, const char *message)
 {
 	if (c->in)
@@ -284,8 +294,9 @@
 	finish_(c, CALL_REFUSED, code);
 }
 
-/* Finds an endpoint for the next sending. */
-static void place_(Call *c)
+/* Finds an endpoint for the next dispatch: asks the scheduler for engines, or picks one of the registered
+ * endpoints of another service. May free the call. */
+static void find_endpoint_(Call *c)
 {
 	Gate *g = c->gate;
 	uint64_t now_us = clock_now_us();
@@ -295,11 +306,11 @@
 		call_act(c, bh__retry_state_process_deadline(&c->x));
 		return;
 	}
-	if (give_up_held_(c) || give_up_stopping_(c))
+	if (abandon_quarantined_(c) || abandon_stopping_(c))
 		return;
 	if (c->service->is_engine) {
 		if (bh__registry_get_taking_us(g->registry, c->service->name, now_us))
-			give_up_no_endpoint_(c);
+			abandon_no_endpoint_(c);
 		else
 			ask_(c);
 		return;
@@ -309,18 +320,19 @@
 	if (e && bh__endpoint_rate_is_limited(&e->rate, now_us))
 		ask_permit_(c, e);
 	else if (e)
-		send_(c, e->endpoint_id);
+		dispatch_(c, e->endpoint_id);
 	else
-		give_up_no_endpoint_(c);
+		abandon_no_endpoint_(c);
 }
 
-/* Ends a request whose service has no endpoint that takes it now. */
-static void give_up_no_endpoint_(Call *c)
+/* Ends a request whose service has no endpoint that can take it now. */
+static void abandon_no_endpoint_(Call *c)
 {
-	give_up_(c, retry_no_endpoint_ms_(c), "no-endpoint", "no endpoint of the service can take the request");
+	abandon_(c, retry_no_endpoint_ms_(c), "no-endpoint", "no endpoint of the service can take the request");
 }
 
-/* Asks for leave to send to an endpoint that is limited, and waits for its turn only if there is no other. */
+/* Asks the home node of a rate-limited endpoint for a permit. Accepts a wait only if the service has no
+ * unlimited endpoint. */
 static void ask_permit_(Call *c, const BH__RegisteredEndpoint *e)
 {
 	uint64_t now_us = clock_now_us();
@@ -337,7 +349,8 @@
 	cluster_ask_permit(c->gate->cluster, c, e, (uint64_t)((double)left_us * PERMIT_WAIT_SHARE));
 }
 
-/* The home of an endpoint lets the request go there after a time; or nothing, for as long as that. */
+/* Processes the home node's answer to a permit request. If `granted`, the request may be dispatched after
+ * `wait_us`; otherwise the endpoint is full for `wait_us`, and another one is tried. */
 void call_on_permit(Call *c, bool granted, uint64_t wait_us)
 {
 	uint64_t now_us = clock_now_us();
@@ -355,27 +368,28 @@
 	}
 	if (e)
 		e->full_until_us = now_us + MAX(wait_us, BH__MS_US);
-	place_(c);
+	find_endpoint_(c);
 }
 
-/* Sends with leave, unless the endpoint has begun to leave or the leave is old. */
+/* Dispatches with a permit, or places the request anew if the endpoint takes no work any more or the permit
+ * has expired. */
 static void use_permit_(Call *c)
 {
 	if (call_endpoint_is_usable(c, c->permit_endpoint) && !is_stale_(c->send_at_us))
-		send_(c, c->permit_endpoint);
+		dispatch_(c, c->permit_endpoint);
 	else
-		place_(c);
+		find_endpoint_(c);
 }
 
-/* Returns true if a request was counted too long ago to be sent now: this node was suspended, or it waited
- * for memory. */
+/* Returns true if a request that was counted against a rate limit at `counted_us` may not be sent any more,
+ * because this node was suspended or the request waited for memory for too long. */
 static bool is_stale_(uint64_t counted_us)
 {
-	return clock_now_us() > counted_us + PERMIT_FRESH_MS * BH__MS_US;
+	return clock_now_us() > counted_us + PERMIT_VALID_MS * BH__MS_US;
 }
 
-/* Ends a request that is held because it crashes endpoints. Returns false if it is not. */
-static bool give_up_held_(Call *c)
+/* Ends a request that is quarantined because it crashes endpoints. Returns false if it is not quarantined. */
+static bool abandon_quarantined_(Call *c)
 {
 	uint64_t held_us = crashes_get_held_us(c->gate->crashes, &c->fingerprint);
 
@@ -384,24 +398,24 @@
 	crashes_note_refusal(c->gate->crashes);
 	log_event("refuse", "request=%s cause=held held_ms=%" G_GUINT64_FORMAT, c->request->meta.request_id,
 			  held_us / BH__MS_US);
-	give_up_(c, held_us / BH__MS_US, "crashes-endpoints", HELD_MESSAGE);
+	abandon_(c, held_us / BH__MS_US, "crashes-endpoints", QUARANTINED_MESSAGE);
 	return true;
 }
 
-/* Sends the request to an endpoint, unless time has gone over that: the node may have been suspended since
- * the endpoint was granted, or the request may be held by now. */
-static void send_(Call *c, uint64_t endpoint_id)
+/* Dispatches the request to an endpoint. Checks the deadline, the quarantine and the node's own stop again,
+ * since the node may have been suspended, or the request quarantined, after the endpoint was granted. */
+static void dispatch_(Call *c, uint64_t endpoint_id)
 {
 	if (clock_now_us() >= c->x.deadline_us)
 		call_act(c, bh__retry_state_process_deadline(&c->x));
-	else if (!give_up_held_(c) && !give_up_stopping_(c))
+	else if (!abandon_quarantined_(c) && !abandon_stopping_(c))
 		sending_start(c, endpoint_id);
 }
 
-/* Ends a request whose answer this node can't see to the end, since it stops before: one that has not run is
- * refused, another fails, so that its caller may repeat it elsewhere. Returns false if it can, or if the
- * answer has begun: that is followed as far as it goes. */
-static bool give_up_stopping_(Call *c)
+/* Ends a request whose answer would probably outlast this node, which is leaving: refuses it if it has not
+ * run and fails it otherwise, so that the caller may retry it elsewhere. Returns false if the answer can end
+ * in time or has begun; an answer that has begun is forwarded until the node exits. */
+static bool abandon_stopping_(Call *c)
 {
 	const Gate *g = c->gate;
 	uint64_t now_us = clock_now_us();
@@ -416,12 +430,12 @@
 			  "request=%s cause=stopping left_ms=%" G_GUINT64_FORMAT " longest_ms=%" G_GUINT64_FORMAT,
 			  c->request->meta.request_id, (g->stop_at_us - MIN(now_us, g->stop_at_us)) / BH__MS_US,
 			  longest_us / BH__MS_US);
-	give_up_(c, retry_stopping_ms_(g, now_us), "node-leaving", "this node stops before the answer would end");
+	abandon_(c, retry_stopping_ms_(g, now_us), "node-leaving", "this node stops before the answer would end");
 	return true;
 }
 
-/* Returns when a caller is to come back whom a stopping node refuses: soon if there are others, else once
- * this one has ended. */
+/* Returns the retry-after in milliseconds of a refusal by a leaving node: short if there is another usable
+ * node, otherwise the time until this one has exited. */
 static uint64_t retry_stopping_ms_(const Gate *g, uint64_t now_us)
 {
 	const BH__Members *m = cluster_get_members(g->cluster);
@@ -432,8 +446,9 @@
 	return MAX((g->stop_at_us - MIN(now_us, g->stop_at_us)) / BH__MS_US, RETRY_SOON_MS);
 }
 
-/* Returns a time that the answer hardly exceeds: by those that this node has seen, or where it has seen none
- * by when one counts as silent, and by what its engine takes for as many tokens as the caller allows. */
+/* Returns a time from dispatch to end, in microseconds, that the answer hardly exceeds: by the answers that
+ * this node has observed, or, if there are none, by the time after which an endpoint counts as unresponsive
+ * plus the time that its engine takes for as many tokens as the caller allows. */
 static uint64_t longest_answer_us_(const Call *c)
 {
 	uint64_t seen_us = bh__answer_time_get_longest_us(answer_time_(c), expected_answer_us_(c));
@@ -441,11 +456,12 @@
 	if (seen_us)
 		return seen_us;
 	return bh__response_max_wait_us(c->rule, c->service->is_engine, false) +
-		   (uint64_t)(write_ms_(c) * WRITE_FACTOR) * BH__MS_US;
+		   (uint64_t)(generate_ms_(c) * GENERATE_FACTOR) * BH__MS_US;
 }
 
-/* A request is held from now on: its calls end, but for those whose answer has begun. An endpoint that has
- * not begun to run it is spared a crash, since it drops what is closed. */
+/* Ends the calls of a request that has just been quarantined, except those whose answer has begun. Closing a
+ * connection spares an endpoint that has not begun to run the request a crash, since endpoints drop a request
+ * whose connection is closed. */
 void calls_process_held(Gate *g, const BH__Fingerprint *f)
 {
 	GList *all = g_hash_table_get_keys(g->calls);
@@ -456,15 +472,16 @@
 			!bh__fingerprint_equal(&c->fingerprint, f))
 			continue;
 		if (c->state != CALL_SENDING)
-			give_up_held_(c);
+			abandon_quarantined_(c);
 		else if (!c->x.answer_begun && !evbuffer_get_length(c->body))
 			sending_end(c, BH__DISPATCH_STOPPED);
 	}
 	g_list_free(all);
 }
 
-/* Ends a request for which there is no place: one that did not run is refused with these words. */
-static void give_up_(Call *c, uint64_t retry_after_ms, const char *code, const char *message)
+/* Ends a request that can't be placed: refuses it with `code` and `message` if it has not run, and otherwise
+ * takes the action that the retry state names. */
+static void abandon_(Call *c, uint64_t retry_after_ms, const char *code, const char *message)
 {
 	BH__NextAction next = bh__retry_state_process_no_endpoint(&c->x);
 
@@ -474,6 +491,7 @@
 		call_act(c, next);
 }
 
+/* Sends a new ask to the scheduler in place of the current one, if any. */
 static void ask_(Call *c)
 {
 	cluster_drop_ask(c->gate->cluster, c);
@@ -485,6 +503,8 @@
 	cluster_ask(c->gate->cluster, c);
 }
 
+/* Fills in the call's ask. Its times are relative, in microseconds; the time that the caller waited in
+ * earlier tries counts against the first-token target. */
 static void fill_ask_(Call *c)
 {
 	const RequestMeta *m = &c->request->meta;
@@ -505,7 +525,8 @@
 	fill_backoffs_(c);
 }
 
-/* Names the engines from which this node backs off in the ask, before each time that it is sent. */
+/* Lists in the ask the engines from which this node backs off. Called before each time that the ask is sent.
+ */
 static void fill_backoffs_(Call *c)
 {
 	BH__Ask *a = &c->place.ask;
@@ -514,7 +535,7 @@
 														   clock_now_us(), a->backoff, BH__BACKOFF_MAX);
 }
 
-/* Sends the ask that is out once more, with what is known by now. */
+/* Sends the current ask again, with the current list of backoffs. */
 static void ask_again_(Call *c, uint64_t now_us)
 {
 	c->asked_us = now_us;
@@ -528,7 +549,7 @@
 	return &c->place;
 }
 
-/* Returns the name of the node that was asked where the request is to go. */
+/* Returns the name of the node that was asked, or "unknown" if it is no member any more. */
 static const char *scheduler_name_(const Call *c)
 {
 	const BH__MemberInfo *info = bh__members_find(cluster_get_members(c->gate->cluster), c->place.asked_node);
@@ -536,25 +557,26 @@
 	return info ? info->name : "unknown";
 }
 
-/* The scheduler keeps the request waiting. */
+/* Processes the scheduler's notice that the ask is queued: restarts the timer and logs the first notice. */
 void call_on_queued(Call *c)
 {
-	if (!c->told_queued)
+	if (!c->queued_logged)
 		log_event("queued", "request=%s scheduler=%s", c->request->meta.request_id, scheduler_name_(c));
-	c->told_queued = true;
+	c->queued_logged = true;
 	c->queued = true;
 	c->asked_us = clock_now_us();
 	call_set_timer(c, c->asked_us);
 }
 
-/* The node that was asked is gone or does not schedule any more. */
+/* Asks again when the node that was asked is gone or no longer schedules the service. */
 void call_on_scheduler_lost(Call *c)
 {
 	if (c->state == CALL_ASKING)
 		ask_(c);
 }
 
-/* No engine can take the request in time. */
+/* Processes the scheduler's refusal: ends the request, or asks again if the scheduler refused because it is
+ * leaving. */
 void call_on_refuse(Call *c, BH__Reason reason, uint64_t retry_after_ms)
 {
 	if (c->state != CALL_ASKING)
@@ -566,10 +588,11 @@
 	if (reason == BH__REASON_NODE_LEAVING)
 		ask_(c);
 	else
-		give_up_(c, retry_after_ms, BH__ReasonString[reason], "no engine can take the request in time");
+		abandon_(c, retry_after_ms, BH__ReasonString[reason], "no engine can take the request in time");
 }
 
-/* Engines were granted: they are in the call's place. */
+/* Processes a grant, which is in the call's admission state. Returns it if the call no longer waits for it.
+ */
 void call_on_grant(Call *c)
 {
 	bh__histogram_add(&c->gate->counters.grant_wait, clock_now_us() - c->asked_us);
@@ -579,6 +602,7 @@
 		cluster_release(c->gate->cluster, c, BH__RELEASE_UNUSED, BH__NO_ENDPOINT);
 }
 
+/* Returns true if the endpoint is registered and takes work now. */
 bool call_endpoint_is_usable(const Call *c, uint64_t endpoint_id)
 {
 	const BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, endpoint_id);
@@ -586,7 +610,8 @@
 	return e && bh__registered_endpoint_takes(e, clock_now_us());
 }
 
-/* Takes up a grant, unless one of its engines has begun to leave. */
+/* Dispatches to the granted engines, or first reserves memory on the helpers that need it. Returns the grant
+ * if a needed engine takes no work any more. */
 static void use_grant_(Call *c)
 {
 	const BH__Grant *g = &c->place.grant;
@@ -600,7 +625,7 @@
 	for (unsigned i = 1; i < g->member_count; i++)
 		needs_memory |= g->member[i].kv_bytes > 0;
 	if (!needs_memory) {
-		send_(c, g->member[0].endpoint_id);
+		dispatch_(c, g->member[0].endpoint_id);
 		return;
 	}
 	c->state = CALL_RESERVING;
@@ -608,8 +633,8 @@
 	call_set_timer(c, clock_now_us());
 }
 
-/* Returns an engine of the grant that is needed and leaves or is gone, or BH__NO_ENDPOINT. A helper without
- * memory is not needed. */
+/* Returns the id of an engine of the grant that is needed and takes no work or is gone, or BH__NO_ENDPOINT. A
+ * helper without reserved memory is not needed. */
 static uint64_t find_unusable_(const Call *c)
 {
 	const BH__Grant *g = &c->place.grant;
@@ -622,20 +647,22 @@
 	return BH__NO_ENDPOINT;
 }
 
-/* Gives a grant back because of one of its engines, or for its age, and asks for another. */
+/* Returns a grant unused and asks for another; refuses the request after UNUSED_GRANTS_MAX such grants.
+ * `unusable_endpoint`: the engine that is the cause and is avoided from now on, or BH__NO_ENDPOINT if the
+ * grant is too old. */
 static void return_grant_(Call *c, uint64_t unusable_endpoint)
 {
 	cluster_release(c->gate->cluster, c, BH__RELEASE_UNUSED, BH__NO_ENDPOINT);
 	if (unusable_endpoint != BH__NO_ENDPOINT)
 		bh__retry_state_note_tried(&c->x, unusable_endpoint);
 	if (++c->unused_grants > UNUSED_GRANTS_MAX)
-		give_up_(c, RETRY_SOON_MS, "not-run", "no endpoint ran the request");
+		abandon_(c, RETRY_SOON_MS, "not-run", "no endpoint ran the request");
 	else
 		ask_(c);
 }
 
-/* The memory on helpers is held, or can't be had. Meanwhile an engine may have gone, of which this node then
- * knows no address. */
+/* Dispatches once the memory on the helpers is held; returns the grant if it can't be had. Checks the engines
+ * again, since one may have gone in the meantime, and its address with it. */
 static void on_memory_(void *ctx, bool held)
 {
 	Call *c = ctx;
@@ -646,7 +673,7 @@
 		home && bh__endpoint_rate_is_limited(&home->rate, clock_now_us()) && is_stale_(c->place.granted_us);
 
 	if (!unusable && !is_old) {
-		send_(c, g->member[0].endpoint_id);
+		dispatch_(c, g->member[0].endpoint_id);
 		return;
 	}
 	memory_hold_delete(c->memory);
@@ -654,13 +681,14 @@
 	return_grant_(c, unusable);
 }
 
+/* Takes the next action after a dispatch has ended or the call has run out of time. May free the call. */
 void call_act(Call *c, BH__NextAction next)
 {
 	Gate *g = c->gate;
 
 	switch (next) {
 	case BH__NEXT_ACTION_DONE:
-		if (c->passing && !c->x.answer_begun)
+		if (c->is_streaming && !c->x.answer_begun)
 			sending_begin_answer(c);
 		if (c->x.answer_begun)
 			inbound_answer_end(c->in);
@@ -669,13 +697,13 @@
 		finish_(c, CALL_SERVED, "served");
 		break;
 	case BH__NEXT_ACTION_PASS_THROUGH:
-		pass_failure_(c);
+		relay_failure_(c);
 		break;
 	case BH__NEXT_ACTION_SEND:
 	case BH__NEXT_ACTION_RESUME:
 		g->counters.repeats++;
 		g->counters.resumes += next == BH__NEXT_ACTION_RESUME;
-		send_again_(c);
+		retry_(c);
 		break;
 	case BH__NEXT_ACTION_REFUSE:
 		refuse_(c, 503, retry_no_endpoint_ms_(c), "not-run", "no endpoint ran the request");
@@ -695,11 +723,11 @@
 	}
 }
 
-/* Finds another endpoint, at once or after the crash that the request has met was judged. */
-static void send_again_(Call *c)
+/* Places the request again, at once or, if it is suspected of a crash, after that has been evaluated. */
+static void retry_(Call *c)
 {
-	if (!c->was_broken || !crashes_is_suspected(c->gate->crashes, &c->fingerprint)) {
-		place_(c);
+	if (!c->crash_reported || !crashes_is_suspected(c->gate->crashes, &c->fingerprint)) {
+		find_endpoint_(c);
 		return;
 	}
 	c->state = CALL_SUSPECTED;
@@ -707,9 +735,9 @@
 	call_set_timer(c, c->suspected_us);
 }
 
-/* Passes an endpoint's failure on as it is. One that would promise what the endpoint did not say becomes
- * ours. */
-static void pass_failure_(Call *c)
+/* Relays an endpoint's failure response unchanged. A 408, 429 or 503 tells the caller that the request did
+ * not run; one without proof that the endpoint gave it is replaced by the gateway's own failure. */
+static void relay_failure_(Call *c)
 {
 	bool promises = c->head.status == 503 || c->head.status == 429 || c->head.status == 408;
 
@@ -721,14 +749,16 @@
 	finish_(c, CALL_FAILED, "endpoint-answered-failure");
 }
 
-/* The caller closed its connection: the endpoint is told by the close of its own. */
+/* Ends the call of a caller that has closed its connection. Closing the connection to the endpoint notifies
+ * the endpoint. */
 void call_on_caller_gone(Call *c)
 {
 	c->in = NULL;
 	finish_(c, CALL_CALLER_GONE, "caller-gone");
 }
 
-/* Ends a call whose caller has been answered or is gone. */
+/* Ends and frees a call whose caller has been answered or is gone: cancels its dispatch, releases what it
+ * holds and records its outcome. `reason` is for the log. */
 static void finish_(Call *c, CallOutcome outcome, const char *reason)
 {
 	Gate *g = c->gate;
@@ -761,17 +791,18 @@
 	g_free(c);
 }
 
-/* Returns when an answer that has not moved on is looked for elsewhere; UINT64_MAX: never. */
+/* Returns when the endpoint counts as unresponsive and the request is sent elsewhere if nothing is received
+ * until then; UINT64_MAX: never. */
 static uint64_t overdue_us_(const Call *c)
 {
-	if (c->state != CALL_SENDING || c->paused || c->rule->repeat == BH__REPEAT_NEVER || c->judged)
+	if (c->state != CALL_SENDING || c->paused || c->rule->repeat == BH__REPEAT_NEVER || c->end_known)
 		return UINT64_MAX;
 	return c->heard_us +
-		   bh__response_max_wait_us(c->rule, c->service->is_engine, c->events.events && c->passing);
+		   bh__response_max_wait_us(c->rule, c->service->is_engine, c->events.events && c->is_streaming);
 }
 
-/* Returns until when a request waits for what the node does not know yet: as long as that is on its way and
- * the caller waits. */
+/* Returns until when a request waits for the startup state: as long as a read of it is in progress and the
+ * caller waits. */
 static uint64_t starting_until_us_(const Call *c)
 {
 	uint64_t until_us = bh__startup_state_get_wait_until_us(&c->gate->knowledge);
@@ -780,7 +811,7 @@
 	return left_us ? MIN(until_us, c->request->arrived_us + left_us) : until_us;
 }
 
-/* Sets the timer to the next moment at which time alone changes something. */
+/* Sets the call's timer to the next time at which check_time_() has something to do. */
 void call_set_timer(Call *c, uint64_t now_us)
 {
 	uint64_t due_us = MIN(c->x.deadline_us, overdue_us_(c));
@@ -789,12 +820,12 @@
 	if (c->state == CALL_STARTING)
 		due_us = starting_until_us_(c);
 	if (c->state == CALL_SUSPECTED)
-		due_us = MIN(due_us, c->suspected_us + JUDGEMENT_MS * BH__MS_US);
+		due_us = MIN(due_us, c->suspected_us + EVALUATION_MAX_MS * BH__MS_US);
 	if (c->state == CALL_PERMIT)
-		due_us = MIN(due_us, c->send_at_us ? c->send_at_us : c->asked_us + SCHEDULER_PATIENCE_MS * BH__MS_US);
+		due_us = MIN(due_us, c->send_at_us ? c->send_at_us : c->asked_us + SCHEDULER_MAX_WAIT_MS * BH__MS_US);
 	if (c->state == CALL_ASKING)
 		due_us =
-			MIN(due_us, c->asked_us + (c->queued ? QUEUED_REPEAT_MS : SCHEDULER_PATIENCE_MS) * BH__MS_US);
+			MIN(due_us, c->asked_us + (c->queued ? QUEUED_REPEAT_MS : SCHEDULER_MAX_WAIT_MS) * BH__MS_US);
 	due_us = due_us > now_us ? due_us - now_us : 0;
 	tv.tv_sec = (time_t)(due_us / BH__SECOND_US);
 	tv.tv_usec = (suseconds_t)(due_us % BH__SECOND_US);
@@ -808,6 +839,7 @@
 	check_time_(arg, clock_now_us());
 }
 
+/* Takes the action that is due in the call's state, if any, and sets the timer again. May free the call. */
 static void check_time_(Call *c, uint64_t now_us)
 {
 	if (c->state == CALL_STARTING && now_us < starting_until_us_(c)) {
@@ -820,14 +852,14 @@
 		c->x.may_have_run |= c->state == CALL_SENDING && c->out && outbound_is_connected(c->out);
 		call_act(c, bh__retry_state_process_deadline(&c->x));
 	}
-	else if (c->state == CALL_SUSPECTED && now_us >= c->suspected_us + JUDGEMENT_MS * BH__MS_US) {
-		place_(c);
+	else if (c->state == CALL_SUSPECTED && now_us >= c->suspected_us + EVALUATION_MAX_MS * BH__MS_US) {
+		find_endpoint_(c);
 	}
 	else if (c->state == CALL_PERMIT && c->send_at_us && now_us >= c->send_at_us) {
 		use_permit_(c);
 	}
 	else if (c->state == CALL_PERMIT && !c->send_at_us &&
-			 now_us >= c->asked_us + SCHEDULER_PATIENCE_MS * BH__MS_US) {
+			 now_us >= c->asked_us + SCHEDULER_MAX_WAIT_MS * BH__MS_US) {
 		log_event("limit", "what=unanswered request=%s home=%s", c->request->meta.request_id,
 				  scheduler_name_(c));
 		cluster_drop_ask(c->gate->cluster, c);
@@ -838,7 +870,7 @@
 			sending_end(c, BH__DISPATCH_UNRESPONSIVE);
 			return;
 		}
-		c->heard_us = now_us; /* nowhere else to go: the endpoint is waited for */
+		c->heard_us = now_us; /* no further dispatch is allowed: waits on for this endpoint */
 		call_set_timer(c, now_us);
 	}
 	else if (c->state == CALL_ASKING && c->queued && now_us >= c->asked_us + QUEUED_REPEAT_MS * BH__MS_US) {
@@ -846,12 +878,12 @@
 		ask_again_(c, now_us);
 	}
 	else if (c->state == CALL_ASKING && !c->queued &&
-			 now_us >= c->asked_us + SCHEDULER_PATIENCE_MS * BH__MS_US &&
+			 now_us >= c->asked_us + SCHEDULER_MAX_WAIT_MS * BH__MS_US &&
 			 cluster_awaits(c->gate->cluster, c->place.asked_node)) {
 		ask_again_(c, now_us);
 	}
 	else if (c->state == CALL_ASKING && !c->queued &&
-			 now_us >= c->asked_us + SCHEDULER_PATIENCE_MS * BH__MS_US) {
+			 now_us >= c->asked_us + SCHEDULER_MAX_WAIT_MS * BH__MS_US) {
 		c->gate->counters.local_grants++;
 		log_event("alone", "request=%s scheduler=%s waited_ms=%" G_GUINT64_FORMAT,
 				  c->request->meta.request_id, scheduler_name_(c), (now_us - c->asked_us) / BH__MS_US);
@@ -865,8 +897,8 @@
 	}
 }
 
-/* The node ends in a moment: requests that have not run are refused, others that have no answer yet get one
- * of ours, and answers that have begun are broken off. */
+/* Ends all calls shortly before the node exits: refuses requests that have not run, fails those that may have
+ * run and have no answer yet, and breaks off answers that have begun. */
 void calls_stop(Gate *g)
 {
 	GList *all = g_hash_table_get_keys(g->calls);
@@ -880,12 +912,12 @@
 			continue;
 		}
 		c->x.may_have_run |= c->state == CALL_SENDING && c->out && outbound_is_connected(c->out);
-		give_up_(c, retry_stopping_ms_(g, clock_now_us()), "node-leaving", "this node stops");
+		abandon_(c, retry_stopping_ms_(g, clock_now_us()), "node-leaving", "this node stops");
 	}
 	g_list_free(all);
 }
 
-/* Ends all calls; for the end of the process. */
+/* Frees all calls without an answer to their callers, at the end of the process. */
 void calls_free(Gate *g)
 {
 	GList *all = g_hash_table_get_keys(g->calls);
--- a/src/bayhoist-gate/call_internal.h
+++ b/src/bayhoist-gate/call_internal.h
@@ -28,7 +28,7 @@
 	CallState state;
 	CallPlace place;           /* admission state */
 	bool queued;               /* the scheduler keeps the ask waiting */
-	bool told_queued;          /* the queueing has been logged */
+	bool queued_logged;        /* the queueing has been logged */
 	unsigned unused_grants;    /* number of grants returned unused */
 	uint64_t asked_us;         /* when the last ask was sent, or the last sign of the scheduler received */
 	uint64_t permit_endpoint;  /* endpoint that a permit is asked for */
@@ -43,15 +43,15 @@
 	uint32_t pauses;           /* number of gaps between received parts of the current dispatch's answer */
 	uint64_t longest_pause_us; /* longest such gap of all dispatches */
 	uint64_t heard_us;         /* when the endpoint last sent a part of the answer, or the dispatch began */
-	bool judged;               /* the dispatch's end is known before its connection ends */
-	BH__DispatchEnd judgement; /* that end; valid if `judged` */
+	bool end_known;            /* the dispatch's end is known before its connection ends */
+	BH__DispatchEnd known_end; /* that end; valid if `end_known` */
 	OutboundHead head;         /* head of the answer; `headers` is a copy that the call owns */
 	struct evbuffer *body;     /* answer buffered until it is complete, or the incomplete event of a stream */
-	bool passing;              /* the answer is a stream, forwarded event by event */
+	bool is_streaming;         /* the answer is a stream, forwarded event by event */
 	bool told_progress;     /* the answer of the current dispatch has begun, and the scheduler was notified */
 	BH__EventStream events; /* parser state of the event stream */
 	bool paused;            /* reading from the endpoint is paused until the caller has caught up */
-	bool was_broken;        /* a dispatch that an endpoint broke off was reported to crashes.c */
+	bool crash_reported;    /* a dispatch that an endpoint broke off was reported to crashes.c */
 	struct event *timer;
 };
 
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -1,7 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* bayhoist-gate: the HTTP gateway of an entry VM. Callers' connections are in inbound.c, those to endpoints
- * in outbound.c, the life of one request in call.c, the nodes' work together in cluster.c, and what the
- * platform wants in a binding behind port.h. One loop on one thread. */
+/* bayhoist-gate: the HTTP gateway of an entry VM. inbound.c holds the connections of callers, outbound.c
+ * those to endpoints, call.c the states of one request, cluster.c the cooperation of the nodes, and a binding
+ * behind port.h what is specific to the platform. Everything runs in one event loop on one thread. */
 #ifndef BAYHOIST_GATE_H
 #define BAYHOIST_GATE_H
 
@@ -32,69 +32,70 @@
 typedef struct Looks Looks;
 typedef struct Crashes Crashes;
 
-/* Why a request ended, for the counters. */
+/* How a request ended, for the counters. */
 typedef enum { CALL_SERVED, CALL_REFUSED, CALL_FAILED, CALL_CALLER_GONE, CALL_OUTCOME_COUNT } CallOutcome;
 
+/* Counts since the start, and distributions of times in microseconds. */
 typedef struct {
-	uint64_t requests;
-	uint64_t outcomes[CALL_OUTCOME_COUNT];
-	uint64_t dispatches;
-	uint64_t sending_ends[BH__DISPATCH_END_COUNT];
-	uint64_t repeats;
-	uint64_t resumes;
-	uint64_t local_grants; /* decided without the scheduler */
-	uint64_t denied_keys;
-	uint64_t no_route;
-	uint64_t stale_refusals; /* because the routing was too old to trust a key */
-	uint64_t directory_answers;
-	uint64_t bad_frames; /* answers that were none */
-	uint64_t limit_changes;
-	uint64_t signals[BH__SIGNAL_KIND_COUNT]; /* answers that gave one */
-	uint64_t unreadable_signals[BH__SIGNAL_KIND_COUNT];
-	BH__Histogram grant_wait;
-	BH__Histogram first_event[BH__SIZE_CLASSES];
-	BH__Histogram whole;
+	uint64_t requests;                             /* requests received */
+	uint64_t outcomes[CALL_OUTCOME_COUNT];         /* requests ended, by outcome */
+	uint64_t dispatches;                           /* requests sent to endpoints */
+	uint64_t sending_ends[BH__DISPATCH_END_COUNT]; /* dispatches ended, by result */
+	uint64_t repeats;                              /* decisions to dispatch a request again */
+	uint64_t resumes;                              /* those of them that resume a stream */
+	uint64_t local_grants;      /* placements by this node because the scheduler did not answer */
+	uint64_t denied_keys;       /* requests refused for an unknown or missing API key */
+	uint64_t no_route;          /* requests that match no route */
+	uint64_t stale_refusals;    /* requests refused because the routing was missing or too old */
+	uint64_t directory_answers; /* answers of the directory */
+	uint64_t bad_frames;        /* answers to another request, or without proof that an endpoint gave them */
+	uint64_t limit_changes;     /* changes of endpoints' rate limits */
+	uint64_t signals[BH__SIGNAL_KIND_COUNT];            /* answers with a valid signal, by kind */
+	uint64_t unreadable_signals[BH__SIGNAL_KIND_COUNT]; /* answers with an invalid signal, by kind */
+	BH__Histogram grant_wait;                           /* from ask to grant */
+	BH__Histogram first_event[BH__SIZE_CLASSES]; /* from arrival to the first event, by size of the prompt */
+	BH__Histogram whole;                         /* from arrival to the end of a served request */
 } GateCounters;
 
-/* How long the callers of one route wait, and its answers take. */
+/* Observed times of one route. */
 typedef struct {
-	BH__CallerTime caller;
-	BH__AnswerTime answer[BH__SIZE_CLASSES];
+	BH__CallerTime caller;                   /* how long its callers wait */
+	BH__AnswerTime answer[BH__SIZE_CLASSES]; /* how long its answers take, by size of the prompt */
 } RouteTimes;
 
 struct Gate {
 	const GatePort *port;
 	GateSettings settings;
 	struct event_base *base;
-	void *binding; /* the platform binding's own state */
-	Cluster *cluster;
-	Looks *looks;
-	Crashes *crashes;
-	BH__Routing *routing;       /* NULL: not known yet */
-	char *routing_text;         /* that it was decoded from */
-	uint64_t routing_looked_us; /* when the look was begun that last showed it to be the newest */
-	uint64_t no_routing_us;     /* when the look was begun that last showed that there is none yet */
-	BH__Registry *registry;
-	BH__StartupState knowledge;  /* what was learnt since the start */
-	bool told_informed;          /* calls that waited for all of that have begun */
-	uint64_t registry_seen;      /* version that the planners follow */
-	uint64_t halls_seen;         /* version of what was logged of halls that drain */
-	BH__StoreVersion place_seen; /* in the store's history, as far as the registry showed it */
+	void *binding;               /* state of the platform's binding */
+	Cluster *cluster;            /* membership, schedulers and messages between nodes */
+	Looks *looks;                /* platform sync */
+	Crashes *crashes;            /* crash reports and quarantine */
+	BH__Routing *routing;        /* configuration in use; NULL: none yet */
+	char *routing_text;          /* text that `routing` was decoded from */
+	uint64_t routing_looked_us;  /* begin of the last platform read that showed `routing` to be the newest */
+	uint64_t no_routing_us;      /* begin of the last platform read that showed that there is none yet */
+	BH__Registry *registry;      /* registered endpoints */
+	BH__StartupState knowledge;  /* state loaded since the start */
+	bool told_informed;          /* the startup state is complete, and calls that waited for it have begun */
+	uint64_t registry_seen;      /* registry version that the planners have applied */
+	uint64_t halls_seen;         /* version of the halls' states that was last logged */
+	BH__StoreVersion place_seen; /* last store version that the registry showed */
 	GHashTable *budgets;         /* BH__ServiceRetryBudget by service name */
 	GHashTable *route_times;     /* RouteTimes by route name */
 	GHashTable *calls;           /* set of live Call */
-	GHashTable *unknown_headers; /* uint64_t, how often an endpoint's answer had one, by its name */
+	GHashTable *unknown_headers; /* uint64_t counts of answers with a header unknown here, by its name */
 	GHashTable *inbounds;        /* set of open Inbound */
-	BH__MemoryBudget room;       /* of the memory that is kept for callers and endpoints */
-	struct evconnlistener *listener;
-	struct evhttp *web[3]; /* directory, readiness, control */
-	GPtrArray *own_events;
+	BH__MemoryBudget room;       /* memory budget for buffered requests and answers */
+	struct evconnlistener *listener; /* for callers */
+	struct evhttp *web[3];           /* directory, readiness, control */
+	GPtrArray *own_events;           /* timers and signal handlers of main.c */
 	GateCounters counters;
-	uint64_t boot_id;
-	uint64_t started_us;
-	uint64_t leaving_since_us; /* 0: not leaving */
-	bool is_ending;            /* its last answers go out */
-	uint64_t stop_at_us;       /* when the node ends at the latest, if it is leaving */
+	uint64_t boot_id;          /* id of this run of the process */
+	uint64_t started_us;       /* when the process started */
+	uint64_t leaving_since_us; /* when the node began to leave; 0: not leaving */
+	bool is_ending;            /* the node sends its last answers and then exits */
+	uint64_t stop_at_us;       /* when the node exits at the latest; valid if it is leaving */
 };
 
 /* main.c */
@@ -113,14 +114,15 @@
 BH__ServiceRetryBudget *gate_get_budget(Gate *g, const char *service);
 
 /* inbound.c */
+/* A caller's request. */
 typedef struct {
 	const char *method;
-	char *target; /* path and query, as the caller sent them */
-	char *host;
-	GString *headers; /* that go on as they are, "name: value" lines */
+	char *target;     /* path and query, as the caller sent them */
+	char *host;       /* value of the Host header */
+	GString *headers; /* "name: value" lines that are passed through unchanged */
 	GByteArray *body;
 	RequestMeta meta;
-	uint64_t arrived_us;
+	uint64_t arrived_us; /* when the request was received */
 } InboundRequest;
 
 bool inbounds_listen(Gate *g);
@@ -138,24 +140,28 @@
 void inbound_break_off(Inbound *in);
 
 /* outbound.c */
+/* How a connection to an endpoint ended. */
 typedef enum {
-	OUTBOUND_DONE,        /* a whole answer */
-	OUTBOUND_UNREACHABLE, /* no connection came up */
-	OUTBOUND_BROKEN       /* the connection or the answer broke */
+	OUTBOUND_DONE,        /* the answer is complete */
+	OUTBOUND_UNREACHABLE, /* no connection could be set up */
+	OUTBOUND_BROKEN       /* the connection broke, or the answer was invalid */
 } OutboundEnd;
 
+/* The head of an endpoint's answer. */
 typedef struct {
-	int status;
-	char reason[64];
+	int status;      /* HTTP status */
+	char reason[64]; /* HTTP reason phrase */
 	AnswerMeta meta;
-	GString *headers; /* that go on as they are */
+	GString *headers; /* "name: value" lines that are passed through unchanged */
 	bool is_event_stream;
 } OutboundHead;
 
+/* Receivers of an answer: of its head, of each part of its body, and of the connection's end. on_end() is
+ * called once; the Outbound is freed afterwards. */
 typedef struct {
 	void (*on_head)(void *ctx, const OutboundHead *head);
 	void (*on_body)(void *ctx, const char *data, size_t len);
-	void (*on_end)(void *ctx, OutboundEnd end); /* once; the outbound is gone afterwards */
+	void (*on_end)(void *ctx, OutboundEnd end);
 } OutboundCallbacks;
 
 Outbound *outbound_start(Gate *g, const char *address, struct evbuffer *request, const OutboundCallbacks *cb,
@@ -166,13 +172,13 @@
 
 /* call.c */
 
-/* A call's dealings with the scheduler of its service. */
+/* The admission state of a call: its ask to the scheduler of its service and the grant that it holds. */
 typedef struct {
-	BH__Ask ask;         /* ask_id 0: none is out */
-	uint64_t asked_node; /* that was asked, or that granted */
-	BH__Grant grant;     /* grant_id 0: none is held */
-	uint64_t granted_us;
-	char service[BH__NAME_LEN];
+	BH__Ask ask;                /* current ask; ask_id 0: none */
+	uint64_t asked_node;        /* node that was asked, or that granted */
+	BH__Grant grant;            /* grant held; grant_id 0: none */
+	uint64_t granted_us;        /* when the grant was received */
+	char service[BH__NAME_LEN]; /* name of the service */
 } CallPlace;
 
 Call *call_start(Gate *g, Inbound *in);
@@ -190,7 +196,10 @@
 void calls_free(Gate *g);
 
 /* memory.c */
+
+/* The memory of one grant that is reserved on its helpers. */
 typedef struct MemoryHold MemoryHold;
+/* Receives the result of a reservation: true if all memory is held. */
 typedef void (*MemoryDone)(void *ctx, bool held);
 
 MemoryHold *memory_hold_new(Gate *g, const BH__Grant *grant, MemoryDone done, void *ctx);
@@ -227,14 +236,14 @@
 
 /* signals.c */
 
-/* The answer that gave an endpoint's signals. */
+/* The answer in which an endpoint's signals were received. */
 typedef struct {
 	uint64_t endpoint_id;
-	uint64_t life; /* of the endpoint when the request was sent, see bh__registry_note_start() */
-	uint64_t sent_us;
-	uint64_t heard_us;
-	int status;
-	bool is_served;         /* the endpoint ran what was asked: a limit that is not there is none any more */
+	uint64_t life;          /* incarnation of the endpoint at the dispatch, see bh__registry_note_start() */
+	uint64_t sent_us;       /* when the request was sent */
+	uint64_t heard_us;      /* when the answer was received */
+	int status;             /* HTTP status */
+	bool is_served;         /* the endpoint ran the request, so that a limit it doesn't name has ended */
 	const char *request_id; /* for the log */
 } AnswerOrigin;
 
--- a/src/bayhoist-gate/port.h
+++ b/src/bayhoist-gate/port.h
@@ -1,7 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What the gateway needs of the platform that it runs on: the headers that callers and endpoints use, the
- * source of routing and of registered endpoints, and memory that engines set aside. A platform's binding
- * fills in a GatePort; nothing else in the gateway knows its names. */
+/* The gateway's interface to the platform that it runs on: the headers that callers and endpoints use, the
+ * source of the configuration and of the registered endpoints, and the reservation of engine memory. The
+ * binding of a platform fills in a GatePort; nothing else in the gateway knows the platform's names. */
 #ifndef BAYHOIST_GATE_PORT_H
 #define BAYHOIST_GATE_PORT_H
 
@@ -15,110 +15,120 @@
 #define REQUEST_ID_LEN 80
 #define API_KEY_LEN 200
 #define MAC_LEN 200
-#define GATE_RECORDS_MAX 16 /* entries that the platform is to record at once */
+#define GATE_RECORDS_MAX 16 /* quarantine entries in one call of record_quarantine() at most */
 
 typedef struct Gate Gate;
 
-/* What a caller says of its request besides what is passed on untouched. */
+/* What a caller's headers say about its request, apart from those that are passed through unchanged. */
 typedef struct {
-	char request_id[REQUEST_ID_LEN];      /* the caller's own name for it; empty: none */
+	char request_id[REQUEST_ID_LEN];      /* id that the caller chose for the request; empty: none */
 	char key[API_KEY_LEN];                /* API key; empty: none */
-	char last_event_id[BH__EVENT_ID_LEN]; /* a stream is to go on after this event; empty: from the start */
-	uint64_t time_left_us;                /* that the caller will wait; 0: not said */
-	uint64_t prompt_tokens;
-	uint64_t max_tokens;    /* of the answer, at most; 0: not said */
-	uint64_t likely_tokens; /* of the answer, as the caller guesses; 0: not said */
+	char last_event_id[BH__EVENT_ID_LEN]; /* event after which a stream resumes; empty: from the start */
+	uint64_t time_left_us;                /* how long the caller will wait; 0: not given */
+	uint64_t prompt_tokens;               /* length of the prompt; 0: not given */
+	uint64_t max_tokens;                  /* longest answer allowed; 0: not given */
+	uint64_t likely_tokens;               /* the caller's estimate of the answer's length; 0: not given */
 } RequestMeta;
 
-/* One sending of a request to an endpoint. */
+/* The data that the gateway puts into the headers of one dispatch. */
 typedef struct {
-	const char *endpoint;      /* id that must answer, and no other */
+	const char *endpoint;      /* id of the only endpoint that may answer */
 	const char *account;       /* name of the client account; NULL: none */
-	const char *last_event_id; /* to go on after; empty: from the start */
-	uint64_t time_left_us;
-	int urgency; /* 0 is the most urgent; negative: not said */
-	unsigned helper_count;
+	const char *last_event_id; /* event after which the stream resumes; empty: from the start */
+	uint64_t time_left_us;     /* time until the request's deadline */
+	int urgency;               /* 0 is the most urgent; negative: not given */
+	unsigned helper_count;     /* number of valid entries in `helper` */
 	struct {
 		const char *address;
-		const char *memory_id; /* set aside there; NULL: none */
-	} helper[BH__GRANT_MEMBERS_MAX];
+		const char *memory_id;       /* id of the memory reserved there; NULL: none */
+	} helper[BH__GRANT_MEMBERS_MAX]; /* engines that prefill parts of the prompt, those with memory first */
 } SendingMeta;
 
-/* What an endpoint says in the head of its answer. */
+/* What an endpoint's headers say, apart from those that are passed through unchanged. */
 typedef struct {
-	char request_id[REQUEST_ID_LEN];
-	char mac[MAC_LEN];              /* shows that the answer is an endpoint's; empty: none */
-	char at_fault[BH__ADDRESS_LEN]; /* the endpoint that caused a refusal; empty: not said */
-	bool not_run;
-	bool has_load;
-	uint32_t running;
-	uint32_t waiting;
-	uint32_t slots;
-	BH__Signal signal[BH__SIGNAL_KIND_COUNT];
+	char request_id[REQUEST_ID_LEN]; /* id of the request that is answered; empty: none */
+	char mac[MAC_LEN];               /* proof that an endpoint gave the answer; empty: none */
+	char at_fault[BH__ADDRESS_LEN];  /* address of the endpoint that caused a refusal; empty: not given */
+	bool not_run;                    /* the endpoint says that it did not run the request */
+	bool has_load;                   /* the next three fields are valid */
+	uint32_t running;                /* requests that the endpoint runs */
+	uint32_t waiting;                /* requests in its queue */
+	uint32_t slots;                  /* requests that it can run at the same time */
+	BH__Signal signal[BH__SIGNAL_KIND_COUNT]; /* signals by kind */
 } AnswerMeta;
 
-/* What becomes of a header. */
+/* What the gateway does with a header. */
 typedef enum {
-	HEADER_PASS,    /* goes on as it is */
-	HEADER_UNKNOWN, /* goes on, too; what it says is known to nobody here */
-	HEADER_DROP     /* does not: it is ours to set, or nobody's business */
+	HEADER_PASS,    /* passes it through unchanged */
+	HEADER_UNKNOWN, /* passes it through unchanged and counts it as unknown to the binding */
+	HEADER_DROP     /* removes it: the gateway sets it itself, or the receiver has no use for it */
 } HeaderUse;
 
-/* An endpoint to which an order or a question of the gateway's own goes. */
+/* The endpoint that a request of the gateway's own goes to. */
 typedef struct {
 	const char *address;
 	uint64_t endpoint_id;
-	uint64_t life; /* see bh__registry_note_start() */
+	uint64_t life; /* incarnation of the endpoint, see bh__registry_note_start() */
 } EndpointRef;
 
 typedef struct GatePort {
+	/* Reads a caller's header into `meta`, and returns what the gateway does with the header. */
 	HeaderUse (*read_request_header)(RequestMeta *meta, const char *name, const char *value);
+	/* Writes the headers that the binding adds to a dispatched request. */
 	void (*write_sending_headers)(struct evbuffer *out, const RequestMeta *meta, const SendingMeta *sending);
+	/* Reads an endpoint's header into `meta`, and returns what the gateway does with the header. */
 	HeaderUse (*read_answer_header)(AnswerMeta *meta, const char *name, const char *value);
-	/* Headers of an answer of the gateway's own. `retry_after_ms` 0: the caller need not come back. */
+	/* Writes the headers of an answer that the gateway gives itself. `retry_after_ms`: when the caller may
+	 * retry; 0: no retry is suggested. */
 	void (*write_own_headers)(struct evbuffer *out, const RequestMeta *meta, uint64_t retry_after_ms);
-	/* Whether a status, in itself, says that the request did not run. */
+	/* Returns true if the HTTP status alone says that the request did not run. */
 	bool (*status_says_not_run)(int status);
 
-	/* Follows the configuration, and hands it to gate_set_routing(). */
+	/* Starts to read the configuration and hands each new version to gate_set_routing(). Returns false, with
+	 * a log line, on failure. */
 	bool (*start)(Gate *g);
-	/* Takes a configuration as the platform told it to another node; the look that showed it to be the newest
-	 * was begun at `looked_us`. Returns false, with a log line, if it is wrong. */
+	/* Takes a configuration that another node read from the platform. `looked_us`: when the platform read
+	 * that showed it to be the newest was begun. Returns false, with a log line, if the text is invalid. */
 	bool (*take_configuration)(Gate *g, const char *text, uint64_t looked_us);
+	/* Ends all work for the gateway and frees the binding's state. */
 	void (*stop)(Gate *g);
-	/* Looks at the platform: whether the configuration is the newest, told by gate_note_look(), or by
-	 * gate_note_no_configuration() where there is none yet; or which endpoints there are, told by
-	 * gate_note_registry(). A look that is under way is not begun again. `limit_us` is the longest that the
-	 * answer may take; 0: as long as usual. */
+	/* Reads from the platform. read_configuration() checks that the configuration is the newest, and answers
+	 * by gate_note_look(), or by gate_note_no_configuration() if there is none yet. read_endpoints() reads
+	 * the registered endpoints and answers by gate_note_registry(). A read that is in progress is not begun
+	 * again. `limit_us`: the longest time that the answer may take; 0: the default. */
 	void (*read_configuration)(Gate *g);
 	void (*read_endpoints)(Gate *g, uint64_t limit_us);
-	/* Sends a look at endpoints that is under way once more: the first answer counts. Returns false if it
-	 * can't be sent again. */
+	/* Sends the read of endpoints that is in progress a second time; the first answer counts. Returns false
+	 * if it can't be sent again. */
 	bool (*resend_endpoints_read)(Gate *g);
-	/* Sets whether a change of the configuration is to be heard of at once, without a look. */
+	/* Turns the watch on the configuration on or off, which reports a change at once, without a read. */
 	void (*watch_configuration)(Gate *g, bool wanted);
-	/* Reads which nodes did which duty when that was last recorded: each is handed to gate_presume_node(),
-	 * the requests that are held to gate_learn_held(), and the end told by gate_note_duties(). While this
-	 * node knows no other it is read again. */
+	/* Reads the record of duties and of quarantined requests. Hands each node with a duty to
+	 * gate_presume_node() and each quarantined request to gate_learn_held(), and reports the end by
+	 * gate_note_duties(). Reads again for as long as this node knows no other node. */
 	void (*find_duties)(Gate *g);
-	/* Records that this node does a duty, for nodes that start. `done` is called once, with whether it is
-	 * recorded. */
+	/* Records that this node holds a duty, for nodes that start later. Calls `done` once, with true if the
+	 * duty is recorded. */
 	void (*record_duty)(Gate *g, const char *duty, const BH__MemberInfo *self,
 						void (*done)(void *ctx, bool recorded), void *ctx);
-	/* Records which requests are held, for nodes that start, and takes those away that are not any more.
-	 * `done` is called once, with whether that is done. */
+	/* Records `count` changed quarantine entries, at most GATE_RECORDS_MAX, for nodes that start later:
+	 * writes requests that are quarantined and removes those that no longer are. Calls `done` once, with true
+	 * on success. */
 	void (*record_quarantine)(Gate *g, const BH__QuarantineEntry *entry, unsigned count,
 							  void (*done)(void *ctx, bool recorded), void *ctx);
-	/* Answers a caller that asks where to go, or the platform that asks whether the node takes callers. */
+	/* Answer a caller that asks which nodes take its requests, and the platform that asks whether this node
+	 * takes callers. */
 	void (*answer_directory)(Gate *g, struct evhttp_request *req);
 	void (*answer_readiness)(Gate *g, struct evhttp_request *req);
 
-	/* Orders to engines and questions; the signals of their answers go to signals_note_answer(). The first
-	 * sets memory aside, or renews that. `done` is called once, with whether it is held. */
+	/* Requests to engines; the signals in their answers go to signals_note_answer(). reserve() reserves
+	 * memory for `tokens` tokens under `memory_id` for `hold_ms`, or renews the reservation, and calls `done`
+	 * once, with true if the memory is held. free_memory() ends a reservation. */
 	void (*reserve)(Gate *g, const EndpointRef *to, const char *memory_id, uint64_t tokens, uint64_t hold_ms,
 					void (*done)(void *ctx, bool held), void *ctx);
 	void (*free_memory)(Gate *g, const EndpointRef *to, const char *memory_id);
-	/* Asks an engine for its report. `done` is called once, with its pace, or 0 if there was no answer. */
+	/* Reads an engine's report. Calls `done` once with the engine's slowdown factor (1: as fast as its
+	 * model), or 0 if there was no answer. */
 	void (*report)(Gate *g, const EndpointRef *to, void (*done)(void *ctx, double slowdown), void *ctx);
 } GatePort;
 
--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/sending.c
@@ -9,13 +9,13 @@
 #include "log.h"
 
 /* Bytes of an answer that are buffered at most; a longer one is forwarded before it is complete. */
-#define WHOLE_MAX (256 * 1024)
+#define BUFFERED_MAX (256 * 1024)
 /* A gap in an answer is reported to the scheduler if it lasts at least this many engine iterations without
  * prefill. */
-#define LONG_PASS_FACTOR 2.0
+#define LONG_ITERATION_FACTOR 2.0
 #define CAUSE_MAX 100 /* bytes of a refusal's body that are logged at most */
 
-static void log_send_(const Call *c, const BH__RegisteredEndpoint *e);
+static void log_dispatch_(const Call *c, const BH__RegisteredEndpoint *e);
 static void write_request_(Call *c, const BH__RegisteredEndpoint *e, struct evbuffer *out);
 static void fill_helpers_(const Call *c, SendingMeta *s);
 static void on_head_(void *ctx, const OutboundHead *head);
@@ -23,14 +23,14 @@
 static void note_signals_(const Call *c);
 static void note_pause_(Call *c, uint64_t pause_us);
 static void on_end_(void *ctx, OutboundEnd end);
-static void report_(Call *c, BH__DispatchEnd end, uint64_t at_fault);
-static BH__DispatchEnd judge_head_(const Call *c, bool *judged);
-static BH__DispatchEnd judge_end_(const Call *c, OutboundEnd end);
-static void pass_events_(Call *c);
-static void pass_on_(Call *c, const char *data, size_t len);
-static void tell_progress_(Call *c);
+static void report_crash_(Call *c, BH__DispatchEnd end, uint64_t at_fault);
+static BH__DispatchEnd classify_head_(const Call *c, bool *end_known);
+static BH__DispatchEnd classify_end_(const Call *c, OutboundEnd end);
+static void forward_events_(Call *c);
+static void forward_(Call *c, const char *data, size_t len);
+static void notify_progress_(Call *c);
 static uint64_t find_at_fault_(const Call *c);
-static void log_sending_(const Call *c, BH__DispatchEnd end, BH__NextAction next, uint64_t now_us);
+static void log_dispatch_end_(const Call *c, BH__DispatchEnd end, BH__NextAction next, uint64_t now_us);
 
 static const OutboundCallbacks Callbacks_ = {.on_head = on_head_, .on_body = on_body_, .on_end = on_end_};
 
@@ -46,22 +46,22 @@
 	c->endpoint_id = endpoint_id;
 	c->sent_us = clock_now_us();
 	c->heard_us = c->sent_us;
-	c->judged = false;
-	c->passing = false;
+	c->end_known = false;
+	c->is_streaming = false;
 	c->told_progress = false;
 	c->pauses = 0;
 	evbuffer_drain(c->body, evbuffer_get_length(c->body));
 	write_request_(c, e, out);
 	g->counters.dispatches++;
 	c->endpoint_life = bh__registry_note_start(g->registry, endpoint_id);
-	log_send_(c, e);
+	log_dispatch_(c, e);
 	c->out = outbound_start(g, e->entry.address, out, &Callbacks_, c);
 	evbuffer_free(out);
 	call_set_timer(c, c->sent_us);
 }
 
 /* Logs a dispatch with its helpers; "/memory" marks a helper that holds reserved memory. */
-static void log_send_(const Call *c, const BH__RegisteredEndpoint *e)
+static void log_dispatch_(const Call *c, const BH__RegisteredEndpoint *e)
 {
 	const BH__Grant *g = &c->place.grant;
 	GString *helpers = g_string_new(NULL);
@@ -141,9 +141,9 @@
 	if (head->meta.has_load)
 		bh__registry_note_load(c->gate->registry, c->endpoint_id, head->meta.running, head->meta.waiting,
 							   c->heard_us);
-	c->judgement = judge_head_(c, &c->judged);
+	c->known_end = classify_head_(c, &c->end_known);
 	note_signals_(c);
-	c->passing = !c->judged && c->rule->streams && head->status / 100 == 2;
+	c->is_streaming = !c->end_known && c->rule->streams && head->status / 100 == 2;
 	call_set_timer(c, c->heard_us);
 }
 
@@ -152,27 +152,27 @@
 static void note_signals_(const Call *c)
 {
 	const AnswerMeta *m = &c->head.meta;
-	bool is_others = c->judged && c->judgement == BH__DISPATCH_BROKEN;
+	bool is_foreign = c->end_known && c->known_end == BH__DISPATCH_BROKEN;
 	AnswerOrigin origin = {.endpoint_id = c->endpoint_id,
 						   .life = c->endpoint_life,
 						   .sent_us = c->sent_us,
 						   .heard_us = c->heard_us,
 						   .status = c->head.status,
-						   .is_served = !c->judged && m->mac[0],
+						   .is_served = !c->end_known && m->mac[0],
 						   .request_id = c->request->meta.request_id};
 
-	if (!is_others && !c->gate->port->status_says_not_run(c->head.status))
+	if (!is_foreign && !c->gate->port->status_says_not_run(c->head.status))
 		signals_note_answer(c->gate, &origin, m);
 }
 
-/* Processes a part of the answer's body: forwards it, or buffers it up to WHOLE_MAX bytes. Of an answer whose
- * head has already decided the dispatch's end, only the first bytes are kept, for the log. */
+/* Processes a part of the answer's body: forwards it, or buffers it up to BUFFERED_MAX bytes. Of an answer
+ * whose head has already decided the dispatch's end, only the first bytes are kept, for the log. */
 static void on_body_(void *ctx, const char *data, size_t len)
 {
 	Call *c = ctx;
 	uint64_t now_us;
 
-	if (c->judged) {
+	if (c->end_known) {
 		if (!evbuffer_get_length(c->body))
 			evbuffer_add(c->body, data, MIN(len, (size_t)CAUSE_MAX));
 		return;
@@ -183,12 +183,13 @@
 		note_pause_(c, now_us - c->heard_us);
 	c->heard_us = now_us;
 	evbuffer_add(c->body, data, len);
-	if (c->passing) {
-		pass_events_(c);
+	if (c->is_streaming) {
+		forward_events_(c);
 	}
-	else if (evbuffer_get_length(c->body) > inbound_get_answer_max(c->gate, WHOLE_MAX) || c->x.answer_begun) {
+	else if (evbuffer_get_length(c->body) > inbound_get_answer_max(c->gate, BUFFERED_MAX) ||
+			 c->x.answer_begun) {
 		size_t n = evbuffer_get_length(c->body);
-		pass_on_(c, (const char *)evbuffer_pullup(c->body, -1), n);
+		forward_(c, (const char *)evbuffer_pullup(c->body, -1), n);
 		evbuffer_drain(c->body, n);
 	}
 }
@@ -198,12 +199,12 @@
  * iteration (see placement.c), so it isn't reported. */
 static void note_pause_(Call *c, uint64_t pause_us)
 {
-	double pass_ms = bh__engine_model_iteration_ms(&c->service->engine, 1, 0);
-	bool is_pass = c->pauses++ > 0 || c->place.grant.member_count < 2;
+	double iteration_ms = bh__engine_model_iteration_ms(&c->service->engine, 1, 0);
+	bool is_iteration = c->pauses++ > 0 || c->place.grant.member_count < 2;
 
 	c->longest_pause_us = MAX(c->longest_pause_us, pause_us);
-	if (is_pass && c->passing && c->service->is_engine &&
-		(double)pause_us / 1000 >= pass_ms * LONG_PASS_FACTOR)
+	if (is_iteration && c->is_streaming && c->service->is_engine &&
+		(double)pause_us / 1000 >= iteration_ms * LONG_ITERATION_FACTOR)
 		cluster_tell_pass(c->gate->cluster, c, pause_us);
 }
 
@@ -213,41 +214,41 @@
 	Call *c = ctx;
 
 	c->out = NULL;
-	sending_end(c, c->judged ? c->judgement : judge_end_(c, end));
+	sending_end(c, c->end_known ? c->known_end : classify_end_(c, end));
 }
 
 /* Classifies a dispatch by the head of its answer: refused, or broken if the answer belongs to another
- * request or has no proof that an endpoint gave it. Sets `*judged` to false if the head alone doesn't decide;
- * the result is meaningless then. */
-static BH__DispatchEnd judge_head_(const Call *c, bool *judged)
+ * request or has no proof that an endpoint gave it. Sets `*end_known` to false if the head alone doesn't
+ * decide; the result is meaningless then. */
+static BH__DispatchEnd classify_head_(const Call *c, bool *end_known)
 {
 	const AnswerMeta *m = &c->head.meta;
-	bool is_ours = !m->request_id[0] || !strcmp(m->request_id, c->request->meta.request_id);
+	bool is_own_request = !m->request_id[0] || !strcmp(m->request_id, c->request->meta.request_id);
 
-	*judged = true;
+	*end_known = true;
 	if (m->not_run || c->gate->port->status_says_not_run(c->head.status))
 		return BH__DISPATCH_REFUSED;
-	if (!is_ours || (c->head.status / 100 == 2 && (!m->mac[0] || !m->request_id[0]))) {
+	if (!is_own_request || (c->head.status / 100 == 2 && (!m->mac[0] || !m->request_id[0]))) {
 		c->gate->counters.bad_frames++;
 		return BH__DISPATCH_BROKEN;
 	}
-	*judged = false;
+	*end_known = false;
 	return BH__DISPATCH_BROKEN;
 }
 
 /* Classifies a dispatch whose head did not decide its end, by the end of its connection and by the status. A
  * stream that ends within an event is broken. */
-static BH__DispatchEnd judge_end_(const Call *c, OutboundEnd end)
+static BH__DispatchEnd classify_end_(const Call *c, OutboundEnd end)
 {
 	if (end == OUTBOUND_UNREACHABLE)
 		return BH__DISPATCH_UNREACHABLE;
-	if (end == OUTBOUND_BROKEN || (c->passing && evbuffer_get_length(c->body) > 0))
+	if (end == OUTBOUND_BROKEN || (c->is_streaming && evbuffer_get_length(c->body) > 0))
 		return BH__DISPATCH_BROKEN;
 	return c->head.status >= 500 ? BH__DISPATCH_FAILED : BH__DISPATCH_ANSWERED;
 }
 
 /* Forwards the complete events in the buffer, except those that the caller already has. */
-static void pass_events_(Call *c)
+static void forward_events_(Call *c)
 {
 	size_t len = evbuffer_get_length(c->body);
 	const char *data = (const char *)evbuffer_pullup(c->body, -1);
@@ -258,7 +259,7 @@
 	while ((state = bh__event_stream_take(&c->events, data + done, len - done, &event_len)) !=
 		   BH__EVENT_INCOMPLETE) {
 		if (state == BH__EVENT_NEXT)
-			pass_on_(c, data + done, event_len);
+			forward_(c, data + done, event_len);
 		done += event_len;
 	}
 	evbuffer_drain(c->body, done);
@@ -267,10 +268,10 @@
 
 /* Forwards answer data to the caller, beginning the answer if necessary. Pauses reading from the endpoint if
  * the caller's connection can't take more. */
-static void pass_on_(Call *c, const char *data, size_t len)
+static void forward_(Call *c, const char *data, size_t len)
 {
 	if (!c->told_progress && c->service->is_engine)
-		tell_progress_(c);
+		notify_progress_(c);
 	c->told_progress = true;
 	if (!c->x.answer_begun)
 		sending_begin_answer(c);
@@ -281,7 +282,7 @@
 }
 
 /* Logs that an engine's answer has begun and notifies the scheduler. */
-static void tell_progress_(Call *c)
+static void notify_progress_(Call *c)
 {
 	log_event("first-event",
 			  "request=%s took_ms=%" G_GUINT64_FORMAT " expected_ms=%" G_GUINT64_FORMAT
@@ -328,7 +329,7 @@
 						  now_us);
 	if (end == BH__DISPATCH_REFUSED)
 		at_fault = find_at_fault_(c);
-	report_(c, end, at_fault);
+	report_crash_(c, end, at_fault);
 	memory_hold_delete(c->memory);
 	c->memory = NULL;
 	cluster_release(g->cluster, c,
@@ -338,24 +339,24 @@
 					failed ? at_fault : BH__NO_ENDPOINT);
 	bh__retry_state_note_tried(&c->x, at_fault);
 	next = bh__retry_state_process_end(&c->x, end, gate_get_budget(g, c->service->name), now_us);
-	log_sending_(c, end, next, now_us);
+	log_dispatch_end_(c, end, next, now_us);
 	call_act(c, next);
 }
 
 /* Reports the end of a dispatch to crashes.c: a completed answer, or a possible crash of an endpoint that
  * broke off or of a helper that is gone. An answer to another request is no sign of a crash, since its
  * endpoint is alive. */
-static void report_(Call *c, BH__DispatchEnd end, uint64_t at_fault)
+static void report_crash_(Call *c, BH__DispatchEnd end, uint64_t at_fault)
 {
 	Crashes *crashes = c->gate->crashes;
-	bool broke = end == BH__DISPATCH_BROKEN && !c->judged;
+	bool broke = end == BH__DISPATCH_BROKEN && !c->end_known;
 	bool helper_gone = end == BH__DISPATCH_REFUSED && at_fault != c->endpoint_id;
 
 	if (end == BH__DISPATCH_ANSWERED)
-		crashes_note_served(crashes, c->service->name, &c->fingerprint, c->was_broken);
+		crashes_note_served(crashes, c->service->name, &c->fingerprint, c->crash_reported);
 	if (!broke && !helper_gone)
 		return;
-	c->was_broken = true;
+	c->crash_reported = true;
 	crashes_note_broken(crashes, c->service->name, at_fault, &c->fingerprint, helper_gone);
 }
 
@@ -371,7 +372,7 @@
 }
 
 /* Logs the end of a dispatch and the next action; for a refusal with the first bytes of its body. */
-static void log_sending_(const Call *c, BH__DispatchEnd end, BH__NextAction next, uint64_t now_us)
+static void log_dispatch_end_(const Call *c, BH__DispatchEnd end, BH__NextAction next, uint64_t now_us)
 {
 	const BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, c->endpoint_id);
 	char cause[CAUSE_MAX + 1] = "";
