--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -127,9 +127,9 @@
 	if (gate_knows_endpoints(g))
 		cluster_process_early(g->cluster);
 	state = bh__startup_state_get_progress(&g->knowledge, clock_now_us());
-	if (state == BH__STARTUP_STATE_PENDING || g->told_informed)
+	if (state == BH__STARTUP_STATE_PENDING || g->startup_complete)
 		return;
-	g->told_informed = state == BH__STARTUP_STATE_COMPLETE;
+	g->startup_complete = state == BH__STARTUP_STATE_COMPLETE;
 	all = g_hash_table_get_keys(g->calls);
 	for (GList *it = all; it; it = it->next) {
 		Call *c = it->data;
@@ -178,7 +178,7 @@
 	time_us = c->rule->timeout_ms * BH__MS_US;
 	if (r->meta.time_left_us && (!time_us || r->meta.time_left_us < time_us))
 		time_us = r->meta.time_left_us;
-	bh__retry_state_init(&c->x, c->rule, r->arrived_us + time_us);
+	bh__retry_state_init(&c->retry, c->rule, r->arrived_us + time_us);
 	if (r->meta.time_left_us)
 		c->waited_before_us = bh__caller_time_note(&route_times_(c)->caller, r->meta.time_left_us);
 	c->fingerprint = fingerprint_(c);
@@ -192,7 +192,7 @@
 		BH__RepeatString[c->rule->repeat], r->meta.prompt_tokens, time_us / BH__MS_US,
 		c->waited_before_us / BH__MS_US, bh__routing_get_version(c->routing),
 		(now_us - g->routing_looked_us) / BH__MS_US);
-	g_strlcpy(c->place.service, c->service->name, sizeof c->place.service);
+	g_strlcpy(c->admission.service, c->service->name, sizeof c->admission.service);
 	return true;
 }
 
@@ -265,9 +265,10 @@
 static uint64_t answer_tokens_(const Call *c)
 {
 	const RequestMeta *m = &c->request->meta;
-	uint64_t most = m->max_tokens ? m->max_tokens : DEFAULT_ANSWER_TOKENS;
+	uint64_t max_tokens = m->max_tokens ? m->max_tokens : DEFAULT_ANSWER_TOKENS;
 
-	return m->likely_tokens ? MIN(most, m->likely_tokens * ESTIMATE_FACTOR + ESTIMATE_EXTRA_TOKENS) : most;
+	return m->likely_tokens ? MIN(max_tokens, m->likely_tokens * ESTIMATE_FACTOR + ESTIMATE_EXTRA_TOKENS)
+							: max_tokens;
 }
 
 /* Returns how long an idle engine takes to generate an answer of answer_tokens_() tokens, in milliseconds; 0
@@ -302,8 +303,8 @@
 	uint64_t now_us = clock_now_us();
 	BH__RegisteredEndpoint *e;
 
-	if (now_us >= c->x.deadline_us) {
-		call_act(c, bh__retry_state_process_deadline(&c->x));
+	if (now_us >= c->retry.deadline_us) {
+		call_act(c, bh__retry_state_process_deadline(&c->retry));
 		return;
 	}
 	if (abandon_quarantined_(c) || abandon_stopping_(c))
@@ -315,8 +316,8 @@
 			ask_(c);
 		return;
 	}
-	e = bh__registry_pick(g->registry, c->service->name, g->settings.hall, c->x.tried, c->x.tried_count,
-						  c->x.may_have_run, now_us);
+	e = bh__registry_pick(g->registry, c->service->name, g->settings.hall, c->retry.tried,
+						  c->retry.tried_count, c->retry.may_have_run, now_us);
 	if (e && bh__endpoint_rate_is_limited(&e->rate, now_us))
 		ask_permit_(c, e);
 	else if (e)
@@ -336,8 +337,9 @@
 static void ask_permit_(Call *c, const BH__RegisteredEndpoint *e)
 {
 	uint64_t now_us = clock_now_us();
-	uint64_t aim_us = c->request->arrived_us + c->rule->target_ms * BH__MS_US;
-	uint64_t left_us = aim_us > now_us + c->waited_before_us ? aim_us - now_us - c->waited_before_us : 0;
+	uint64_t target_us = c->request->arrived_us + c->rule->target_ms * BH__MS_US;
+	uint64_t left_us =
+		target_us > now_us + c->waited_before_us ? target_us - now_us - c->waited_before_us : 0;
 
 	if (bh__registry_has_unlimited(c->gate->registry, c->service->name, now_us))
 		left_us = 0;
@@ -406,10 +408,10 @@
  * since the node may have been suspended, or the request quarantined, after the endpoint was granted. */
 static void dispatch_(Call *c, uint64_t endpoint_id)
 {
-	if (clock_now_us() >= c->x.deadline_us)
-		call_act(c, bh__retry_state_process_deadline(&c->x));
+	if (clock_now_us() >= c->retry.deadline_us)
+		call_act(c, bh__retry_state_process_deadline(&c->retry));
 	else if (!abandon_quarantined_(c) && !abandon_stopping_(c))
-		sending_start(c, endpoint_id);
+		dispatch_start(c, endpoint_id);
 }
 
 /* Ends a request whose answer would probably outlast this node, which is leaving: refuses it if it has not
@@ -421,7 +423,7 @@
 	uint64_t now_us = clock_now_us();
 	uint64_t longest_us;
 
-	if (!g->leaving_since_us || c->x.answer_begun)
+	if (!g->leaving_since_us || c->retry.answer_begun)
 		return false;
 	longest_us = longest_answer_us_(c);
 	if (now_us + longest_us <= g->stop_at_us)
@@ -471,10 +473,10 @@
 		if (!g_hash_table_contains(g->calls, c) || c->state == CALL_STARTING ||
 			!bh__fingerprint_equal(&c->fingerprint, f))
 			continue;
-		if (c->state != CALL_SENDING)
+		if (c->state != CALL_DISPATCHED)
 			abandon_quarantined_(c);
-		else if (!c->x.answer_begun && !evbuffer_get_length(c->body))
-			sending_end(c, BH__DISPATCH_STOPPED);
+		else if (!c->retry.answer_begun && !evbuffer_get_length(c->body))
+			dispatch_end(c, BH__DISPATCH_STOPPED);
 	}
 	g_list_free(all);
 }
@@ -483,7 +485,7 @@
  * takes the action that the retry state names. */
 static void abandon_(Call *c, uint64_t retry_after_ms, const char *code, const char *message)
 {
-	BH__NextAction next = bh__retry_state_process_no_endpoint(&c->x);
+	BH__NextAction next = bh__retry_state_process_no_endpoint(&c->retry);
 
 	if (next == BH__NEXT_ACTION_REFUSE)
 		refuse_(c, 503, retry_after_ms, code, message);
@@ -511,17 +513,17 @@
 	uint64_t now_us = clock_now_us();
 	uint64_t target_us = c->request->arrived_us + c->rule->target_ms * BH__MS_US;
 	uint64_t before_us = MIN(c->waited_before_us, target_us);
-	BH__Ask *a = &c->place.ask;
+	BH__Ask *a = &c->admission.ask;
 
 	memset(a, 0, sizeof *a);
 	a->prompt_tokens = m->prompt_tokens ? m->prompt_tokens : c->request->body->len / BYTES_PER_TOKEN + 1;
 	a->max_tokens = answer_tokens_(c);
-	a->deadline_us = c->x.deadline_us - now_us;
+	a->deadline_us = c->retry.deadline_us - now_us;
 	a->first_event_us = target_us - before_us > now_us ? target_us - before_us - now_us : 1;
 	a->event_gap_us = c->rule->event_gap_ms * BH__MS_US;
 	a->priority_level = c->owner && c->owner->has_priority ? c->owner->priority : c->rule->priority;
-	for (unsigned i = 0; i < c->x.tried_count && a->avoid_count < BH__AVOID_MAX; i++)
-		a->avoid[a->avoid_count++] = c->x.tried[i];
+	for (unsigned i = 0; i < c->retry.tried_count && a->avoid_count < BH__AVOID_MAX; i++)
+		a->avoid[a->avoid_count++] = c->retry.tried[i];
 	fill_backoffs_(c);
 }
 
@@ -529,7 +531,7 @@
  */
 static void fill_backoffs_(Call *c)
 {
-	BH__Ask *a = &c->place.ask;
+	BH__Ask *a = &c->admission.ask;
 
 	a->backoff_count = (uint8_t)bh__registry_list_backoffs(c->gate->registry, c->service->name,
 														   clock_now_us(), a->backoff, BH__BACKOFF_MAX);
@@ -546,13 +548,14 @@
 
 CallPlace *call_get_place(Call *c)
 {
-	return &c->place;
+	return &c->admission;
 }
 
 /* Returns the name of the node that was asked, or "unknown" if it is no member any more. */
 static const char *scheduler_name_(const Call *c)
 {
-	const BH__MemberInfo *info = bh__members_find(cluster_get_members(c->gate->cluster), c->place.asked_node);
+	const BH__MemberInfo *info =
+		bh__members_find(cluster_get_members(c->gate->cluster), c->admission.asked_node);
 
 	return info ? info->name : "unknown";
 }
@@ -614,7 +617,7 @@
  * if a needed engine takes no work any more. */
 static void use_grant_(Call *c)
 {
-	const BH__Grant *g = &c->place.grant;
+	const BH__Grant *g = &c->admission.grant;
 	uint64_t unusable = find_unusable_(c);
 	bool needs_memory = false;
 
@@ -637,7 +640,7 @@
  * helper without reserved memory is not needed. */
 static uint64_t find_unusable_(const Call *c)
 {
-	const BH__Grant *g = &c->place.grant;
+	const BH__Grant *g = &c->admission.grant;
 
 	for (unsigned i = 0; i < g->member_count; i++) {
 		bool needed = i == 0 || g->member[i].kv_bytes > 0;
@@ -654,7 +657,7 @@
 {
 	cluster_release(c->gate->cluster, c, BH__RELEASE_UNUSED, BH__NO_ENDPOINT);
 	if (unusable_endpoint != BH__NO_ENDPOINT)
-		bh__retry_state_note_tried(&c->x, unusable_endpoint);
+		bh__retry_state_note_tried(&c->retry, unusable_endpoint);
 	if (++c->unused_grants > UNUSED_GRANTS_MAX)
 		abandon_(c, RETRY_SOON_MS, "not-run", "no endpoint ran the request");
 	else
@@ -666,11 +669,11 @@
 static void on_memory_(void *ctx, bool held)
 {
 	Call *c = ctx;
-	const BH__Grant *g = &c->place.grant;
+	const BH__Grant *g = &c->admission.grant;
 	uint64_t unusable = held ? find_unusable_(c) : g->member[g->member_count - 1].endpoint_id;
 	const BH__RegisteredEndpoint *home = bh__registry_find(c->gate->registry, g->member[0].endpoint_id);
-	bool is_old =
-		home && bh__endpoint_rate_is_limited(&home->rate, clock_now_us()) && is_stale_(c->place.granted_us);
+	bool is_old = home && bh__endpoint_rate_is_limited(&home->rate, clock_now_us()) &&
+				  is_stale_(c->admission.granted_us);
 
 	if (!unusable && !is_old) {
 		dispatch_(c, g->member[0].endpoint_id);
@@ -688,9 +691,9 @@
 
 	switch (next) {
 	case BH__NEXT_ACTION_DONE:
-		if (c->is_streaming && !c->x.answer_begun)
-			sending_begin_answer(c);
-		if (c->x.answer_begun)
+		if (c->is_streaming && !c->retry.answer_begun)
+			dispatch_begin_answer(c);
+		if (c->retry.answer_begun)
 			inbound_answer_end(c->in);
 		else
 			inbound_answer_whole(c->in, c->head.status, c->head.reason, c->head.headers, c->body);
@@ -766,7 +769,8 @@
 
 	if (c->out) {
 		outbound_cancel(c->out);
-		bh__registry_note_end(g->registry, c->endpoint_id, c->endpoint_life, BH__USE_ABANDONED, now_us);
+		bh__registry_note_end(g->registry, c->endpoint_id, c->endpoint_incarnation, BH__USE_ABANDONED,
+							  now_us);
 	}
 	cluster_drop_ask(g->cluster, c);
 	cluster_release(g->cluster, c, BH__RELEASE_DONE, BH__NO_ENDPOINT);
@@ -780,7 +784,7 @@
 			  "request=%s route=%s outcome=%s status=%d state=%s sendings=%u may_have_run=%s "
 			  "pause_ms=%" G_GUINT64_FORMAT " took_ms=%" G_GUINT64_FORMAT " configuration=%" G_GUINT64_FORMAT,
 			  c->request->meta.request_id, c->rule ? c->rule->name : "", reason, c->head.status,
-			  StateString_[c->state], c->x.dispatches, c->x.may_have_run ? "yes" : "no",
+			  StateString_[c->state], c->retry.dispatches, c->retry.may_have_run ? "yes" : "no",
 			  c->longest_pause_us / BH__MS_US, (now_us - c->request->arrived_us) / BH__MS_US,
 			  c->routing ? bh__routing_get_version(c->routing) : 0);
 	g_hash_table_remove(g->calls, c);
@@ -795,7 +799,7 @@
  * until then; UINT64_MAX: never. */
 static uint64_t overdue_us_(const Call *c)
 {
-	if (c->state != CALL_SENDING || c->paused || c->rule->repeat == BH__REPEAT_NEVER || c->end_known)
+	if (c->state != CALL_DISPATCHED || c->paused || c->rule->repeat == BH__REPEAT_NEVER || c->end_known)
 		return UINT64_MAX;
 	return c->heard_us +
 		   bh__response_max_wait_us(c->rule, c->service->is_engine, c->events.events && c->is_streaming);
@@ -814,7 +818,7 @@
 /* Sets the call's timer to the next time at which check_time_() has something to do. */
 void call_set_timer(Call *c, uint64_t now_us)
 {
-	uint64_t due_us = MIN(c->x.deadline_us, overdue_us_(c));
+	uint64_t due_us = MIN(c->retry.deadline_us, overdue_us_(c));
 	struct timeval tv;
 
 	if (c->state == CALL_STARTING)
@@ -848,9 +852,9 @@
 	else if (c->state == CALL_STARTING) {
 		begin_(c);
 	}
-	else if (now_us >= c->x.deadline_us) {
-		c->x.may_have_run |= c->state == CALL_SENDING && c->out && outbound_is_connected(c->out);
-		call_act(c, bh__retry_state_process_deadline(&c->x));
+	else if (now_us >= c->retry.deadline_us) {
+		c->retry.may_have_run |= c->state == CALL_DISPATCHED && c->out && outbound_is_connected(c->out);
+		call_act(c, bh__retry_state_process_deadline(&c->retry));
 	}
 	else if (c->state == CALL_SUSPECTED && now_us >= c->suspected_us + EVALUATION_MAX_MS * BH__MS_US) {
 		find_endpoint_(c);
@@ -866,8 +870,9 @@
 		call_on_permit(c, false, RETRY_SOON_MS * BH__MS_US);
 	}
 	else if (now_us >= overdue_us_(c)) {
-		if (bh__retry_state_may_dispatch_again(&c->x, now_us) && c->x.dispatches + 1 < c->x.max_attempts) {
-			sending_end(c, BH__DISPATCH_UNRESPONSIVE);
+		if (bh__retry_state_may_dispatch_again(&c->retry, now_us) &&
+			c->retry.dispatches + 1 < c->retry.max_attempts) {
+			dispatch_end(c, BH__DISPATCH_UNRESPONSIVE);
 			return;
 		}
 		c->heard_us = now_us; /* no further dispatch is allowed: waits on for this endpoint */
@@ -879,7 +884,7 @@
 	}
 	else if (c->state == CALL_ASKING && !c->queued &&
 			 now_us >= c->asked_us + SCHEDULER_MAX_WAIT_MS * BH__MS_US &&
-			 cluster_awaits(c->gate->cluster, c->place.asked_node)) {
+			 cluster_awaits(c->gate->cluster, c->admission.asked_node)) {
 		ask_again_(c, now_us);
 	}
 	else if (c->state == CALL_ASKING && !c->queued &&
@@ -911,7 +916,7 @@
 			refuse_(c, 503, RETRY_SOON_MS, "node-leaving", "this node stops");
 			continue;
 		}
-		c->x.may_have_run |= c->state == CALL_SENDING && c->out && outbound_is_connected(c->out);
+		c->retry.may_have_run |= c->state == CALL_DISPATCHED && c->out && outbound_is_connected(c->out);
 		abandon_(c, retry_stopping_ms_(g, clock_now_us()), "node-leaving", "this node stops");
 	}
 	g_list_free(all);
--- a/src/bayhoist-gate/call_internal.h
+++ b/src/bayhoist-gate/call_internal.h
@@ -12,7 +12,7 @@
 	CALL_RESERVING, /* waits for the memory reservation on the granted engines */
 	CALL_PERMIT,    /* waits for a permit of a rate-limited endpoint, or for the time that the permit names */
 	CALL_SUSPECTED, /* waits until the crash that it met has been evaluated */
-	CALL_SENDING    /* dispatched to an endpoint */
+	CALL_DISPATCHED /* dispatched to an endpoint */
 } CallState;
 
 struct Call {
@@ -24,9 +24,9 @@
 	const BH__ServiceSpec *service;
 	const BH__KeyOwner *owner;   /* account of the caller's API key; NULL: none */
 	BH__Fingerprint fingerprint; /* identical for each caller retry of the same request */
-	BH__RetryState x;            /* retry state */
+	BH__RetryState retry;        /* retry state */
 	CallState state;
-	CallPlace place;           /* admission state */
+	CallPlace admission;       /* admission state */
 	bool queued;               /* the scheduler keeps the ask waiting */
 	bool queued_logged;        /* the queueing has been logged */
 	unsigned unused_grants;    /* number of grants returned unused */
@@ -38,8 +38,8 @@
 	MemoryHold *memory;        /* memory reserved on helpers; NULL: none */
 	Outbound *out;             /* connection of the current dispatch; NULL: none */
 	uint64_t endpoint_id;      /* endpoint of the current or last dispatch */
-	uint64_t endpoint_life;    /* incarnation of that endpoint, see bh__registry_note_start() */
-	uint64_t sent_us;          /* when the current or last dispatch began */
+	uint64_t endpoint_incarnation; /* incarnation of that endpoint, see bh__registry_note_start() */
+	uint64_t sent_us;              /* when the current or last dispatch began */
 	uint32_t pauses;           /* number of gaps between received parts of the current dispatch's answer */
 	uint64_t longest_pause_us; /* longest such gap of all dispatches */
 	uint64_t heard_us;         /* when the endpoint last sent a part of the answer, or the dispatch began */
@@ -48,7 +48,7 @@
 	OutboundHead head;         /* head of the answer; `headers` is a copy that the call owns */
 	struct evbuffer *body;     /* answer buffered until it is complete, or the incomplete event of a stream */
 	bool is_streaming;         /* the answer is a stream, forwarded event by event */
-	bool told_progress;     /* the answer of the current dispatch has begun, and the scheduler was notified */
+	bool progress_notified; /* the answer of the current dispatch has begun, and the scheduler was notified */
 	BH__EventStream events; /* parser state of the event stream */
 	bool paused;            /* reading from the endpoint is paused until the caller has caught up */
 	bool crash_reported;    /* a dispatch that an endpoint broke off was reported to crashes.c */
@@ -61,8 +61,8 @@
 void call_set_timer(Call *c, uint64_t now_us);
 
 /* sending.c */
-void sending_start(Call *c, uint64_t endpoint_id);
-void sending_end(Call *c, BH__DispatchEnd end);
-void sending_begin_answer(Call *c);
+void dispatch_start(Call *c, uint64_t endpoint_id);
+void dispatch_end(Call *c, BH__DispatchEnd end);
+void dispatch_begin_answer(Call *c);
 
 #endif
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -77,7 +77,7 @@
 	uint64_t no_routing_us;      /* begin of the last platform read that showed that there is none yet */
 	BH__Registry *registry;      /* registered endpoints */
 	BH__StartupState knowledge;  /* state loaded since the start */
-	bool told_informed;          /* the startup state is complete, and calls that waited for it have begun */
+	bool startup_complete;       /* the startup state is complete, and calls that waited for it have begun */
 	uint64_t registry_seen;      /* registry version that the planners have applied */
 	uint64_t halls_seen;         /* version of the halls' states that was last logged */
 	BH__StoreVersion place_seen; /* last store version that the registry showed */
@@ -102,12 +102,12 @@
 bool gate_is_ready(const Gate *g, uint64_t now_us);
 bool gate_knows_endpoints(const Gate *g);
 bool gate_trusts_keys(const Gate *g, uint64_t now_us);
-void gate_set_routing(Gate *g, BH__Routing *routing, const char *text, uint64_t looked_us);
-void gate_note_no_configuration(Gate *g, uint64_t looked_us);
+void gate_set_routing(Gate *g, BH__Routing *routing, const char *text, uint64_t platform_read_us);
+void gate_note_no_configuration(Gate *g, uint64_t platform_read_us);
 void gate_note_configuration_asked(Gate *g, uint64_t answer_us);
 void gate_note_configuration_lost(Gate *g);
-void gate_note_look(Gate *g, uint64_t looked_us);
-void gate_note_registry(Gate *g, uint64_t looked_us);
+void gate_note_look(Gate *g, uint64_t platform_read_us);
+void gate_note_registry(Gate *g, uint64_t platform_read_us);
 void gate_presume_node(Gate *g, const char *duty, const BH__MemberInfo *info);
 void gate_note_duties(Gate *g);
 void gate_learn_held(Gate *g, const BH__QuarantineEntry *aged);
@@ -228,7 +228,7 @@
 void cluster_ask_locally(Cluster *c, Call *call);
 void cluster_drop_ask(Cluster *c, Call *call);
 void cluster_tell_progress(Cluster *c, Call *call);
-void cluster_tell_pass(Cluster *c, Call *call, uint64_t pass_us);
+void cluster_tell_pass(Cluster *c, Call *call, uint64_t iteration_us);
 void cluster_release(Cluster *c, Call *call, BH__ReleaseKind kind, uint64_t failed_endpoint);
 void cluster_write_status(const Cluster *c, struct evbuffer *out);
 
@@ -253,9 +253,9 @@
 struct json_object *signals_describe(const Gate *g);
 
 /* limits.c */
-void cluster_ask_permit(Cluster *c, Call *call, const BH__RegisteredEndpoint *e, uint64_t patience_us);
+void cluster_ask_permit(Cluster *c, Call *call, const BH__RegisteredEndpoint *e, uint64_t max_wait_us);
 
-/* looks.c */
+/* platform_sync.c */
 Looks *looks_new(Gate *g);
 void looks_delete(Looks *l);
 BH__PlatformSync *looks_get(const Looks *l);
--- a/src/bayhoist-gate/port.h
+++ b/src/bayhoist-gate/port.h
@@ -87,9 +87,10 @@
 	/* Starts to read the configuration and hands each new version to gate_set_routing(). Returns false, with
 	 * a log line, on failure. */
 	bool (*start)(Gate *g);
-	/* Takes a configuration that another node read from the platform. `looked_us`: when the platform read
-	 * that showed it to be the newest was begun. Returns false, with a log line, if the text is invalid. */
-	bool (*take_configuration)(Gate *g, const char *text, uint64_t looked_us);
+	/* Takes a configuration that another node read from the platform. `platform_read_us`: when the platform
+	 * read that showed it to be the newest was begun. Returns false, with a log line, if the text is invalid.
+	 */
+	bool (*take_configuration)(Gate *g, const char *text, uint64_t platform_read_us);
 	/* Ends all work for the gateway and frees the binding's state. */
 	void (*stop)(Gate *g);
 	/* Reads from the platform. read_configuration() checks that the configuration is the newest, and answers
--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/sending.c
@@ -36,24 +36,24 @@
 
 /* Dispatches the request to an endpoint, which must be registered. Resets the state of the last dispatch;
  * what has come of an earlier answer's event stream stays, so that it can be resumed. */
-void sending_start(Call *c, uint64_t endpoint_id)
+void dispatch_start(Call *c, uint64_t endpoint_id)
 {
 	Gate *g = c->gate;
 	BH__RegisteredEndpoint *e = bh__registry_find(g->registry, endpoint_id);
 	struct evbuffer *out = evbuffer_new();
 
-	c->state = CALL_SENDING;
+	c->state = CALL_DISPATCHED;
 	c->endpoint_id = endpoint_id;
 	c->sent_us = clock_now_us();
 	c->heard_us = c->sent_us;
 	c->end_known = false;
 	c->is_streaming = false;
-	c->told_progress = false;
+	c->progress_notified = false;
 	c->pauses = 0;
 	evbuffer_drain(c->body, evbuffer_get_length(c->body));
 	write_request_(c, e, out);
 	g->counters.dispatches++;
-	c->endpoint_life = bh__registry_note_start(g->registry, endpoint_id);
+	c->endpoint_incarnation = bh__registry_note_start(g->registry, endpoint_id);
 	log_dispatch_(c, e);
 	c->out = outbound_start(g, e->entry.address, out, &Callbacks_, c);
 	evbuffer_free(out);
@@ -63,7 +63,7 @@
 /* Logs a dispatch with its helpers; "/memory" marks a helper that holds reserved memory. */
 static void log_dispatch_(const Call *c, const BH__RegisteredEndpoint *e)
 {
-	const BH__Grant *g = &c->place.grant;
+	const BH__Grant *g = &c->admission.grant;
 	GString *helpers = g_string_new(NULL);
 
 	for (unsigned i = 1; g->grant_id && i < g->member_count; i++) {
@@ -76,7 +76,7 @@
 			  " sendings=%u after=%s left_ms=%" G_GUINT64_FORMAT " expected_ms=%" G_GUINT64_FORMAT
 			  " limit_per_s=%.3f helpers=%s",
 			  c->request->meta.request_id, e->entry.id, c->service->name, c->request->meta.prompt_tokens,
-			  c->x.dispatches, c->events.last_id, (c->x.deadline_us - c->sent_us) / BH__MS_US,
+			  c->retry.dispatches, c->events.last_id, (c->retry.deadline_us - c->sent_us) / BH__MS_US,
 			  g->grant_id ? g->expected_us / BH__MS_US : 0,
 			  e->signals.named.in_force ? e->signals.named.per_s : -1.0, helpers->str);
 	g_string_free(helpers, TRUE);
@@ -92,7 +92,7 @@
 	SendingMeta s = {.endpoint = e->entry.id,
 					 .account = c->owner ? c->owner->name : NULL,
 					 .last_event_id = c->events.last_id[0] ? c->events.last_id : r->meta.last_event_id,
-					 .time_left_us = c->x.deadline_us - c->sent_us,
+					 .time_left_us = c->retry.deadline_us - c->sent_us,
 					 .urgency = -1};
 
 	fill_helpers_(c, &s);
@@ -109,7 +109,7 @@
  * Helpers with reserved memory come first, because their memory is filled in this order. */
 static void fill_helpers_(const Call *c, SendingMeta *s)
 {
-	const BH__Grant *g = &c->place.grant;
+	const BH__Grant *g = &c->admission.grant;
 
 	if (!g->grant_id)
 		return;
@@ -154,7 +154,7 @@
 	const AnswerMeta *m = &c->head.meta;
 	bool is_foreign = c->end_known && c->known_end == BH__DISPATCH_BROKEN;
 	AnswerOrigin origin = {.endpoint_id = c->endpoint_id,
-						   .life = c->endpoint_life,
+						   .life = c->endpoint_incarnation,
 						   .sent_us = c->sent_us,
 						   .heard_us = c->heard_us,
 						   .status = c->head.status,
@@ -179,7 +179,7 @@
 	}
 	now_us = clock_now_us();
 	memory_hold_note_heard(c->memory);
-	if (c->x.answer_begun)
+	if (c->retry.answer_begun)
 		note_pause_(c, now_us - c->heard_us);
 	c->heard_us = now_us;
 	evbuffer_add(c->body, data, len);
@@ -187,7 +187,7 @@
 		forward_events_(c);
 	}
 	else if (evbuffer_get_length(c->body) > inbound_get_answer_max(c->gate, BUFFERED_MAX) ||
-			 c->x.answer_begun) {
+			 c->retry.answer_begun) {
 		size_t n = evbuffer_get_length(c->body);
 		forward_(c, (const char *)evbuffer_pullup(c->body, -1), n);
 		evbuffer_drain(c->body, n);
@@ -200,7 +200,7 @@
 static void note_pause_(Call *c, uint64_t pause_us)
 {
 	double iteration_ms = bh__engine_model_iteration_ms(&c->service->engine, 1, 0);
-	bool is_iteration = c->pauses++ > 0 || c->place.grant.member_count < 2;
+	bool is_iteration = c->pauses++ > 0 || c->admission.grant.member_count < 2;
 
 	c->longest_pause_us = MAX(c->longest_pause_us, pause_us);
 	if (is_iteration && c->is_streaming && c->service->is_engine &&
@@ -214,7 +214,7 @@
 	Call *c = ctx;
 
 	c->out = NULL;
-	sending_end(c, c->end_known ? c->known_end : classify_end_(c, end));
+	dispatch_end(c, c->end_known ? c->known_end : classify_end_(c, end));
 }
 
 /* Classifies a dispatch by the head of its answer: refused, or broken if the answer belongs to another
@@ -270,11 +270,11 @@
  * the caller's connection can't take more. */
 static void forward_(Call *c, const char *data, size_t len)
 {
-	if (!c->told_progress && c->service->is_engine)
+	if (!c->progress_notified && c->service->is_engine)
 		notify_progress_(c);
-	c->told_progress = true;
-	if (!c->x.answer_begun)
-		sending_begin_answer(c);
+	c->progress_notified = true;
+	if (!c->retry.answer_begun)
+		dispatch_begin_answer(c);
 	if (!inbound_answer_more(c->in, data, len) && !c->paused) {
 		c->paused = true;
 		outbound_pause(c->out, true);
@@ -284,21 +284,21 @@
 /* Logs that an engine's answer has begun and notifies the scheduler. */
 static void notify_progress_(Call *c)
 {
-	log_event("first-event",
-			  "request=%s took_ms=%" G_GUINT64_FORMAT " expected_ms=%" G_GUINT64_FORMAT
-			  " target_ms=%u parts=%u",
-			  c->request->meta.request_id, (c->heard_us - c->sent_us) / BH__MS_US,
-			  c->place.grant.expected_us / BH__MS_US, c->rule->target_ms, c->place.grant.member_count);
+	log_event(
+		"first-event",
+		"request=%s took_ms=%" G_GUINT64_FORMAT " expected_ms=%" G_GUINT64_FORMAT " target_ms=%u parts=%u",
+		c->request->meta.request_id, (c->heard_us - c->sent_us) / BH__MS_US,
+		c->admission.grant.expected_us / BH__MS_US, c->rule->target_ms, c->admission.grant.member_count);
 	cluster_tell_progress(c->gate->cluster, c);
 }
 
 /* Sends the head of the answer to the caller; from then on the request can't be answered otherwise. */
-void sending_begin_answer(Call *c)
+void dispatch_begin_answer(Call *c)
 {
 	uint64_t wait_us = c->heard_us - c->request->arrived_us;
 
-	c->x.answer_begun = true;
-	c->x.may_have_run = true;
+	c->retry.answer_begun = true;
+	c->retry.may_have_run = true;
 	if (c->service->is_engine) {
 		bh__histogram_add(&c->gate->counters.first_event[bh__size_class(c->request->meta.prompt_tokens)],
 						  wait_us);
@@ -308,7 +308,7 @@
 
 /* Ends the current dispatch with the given result: cancels its connection if it is still open, releases its
  * grant and memory, and takes the next action. May free the call. */
-void sending_end(Call *c, BH__DispatchEnd end)
+void dispatch_end(Call *c, BH__DispatchEnd end)
 {
 	Gate *g = c->gate;
 	uint64_t now_us = clock_now_us();
@@ -321,7 +321,7 @@
 	c->out = NULL;
 	c->paused = false;
 	g->counters.sending_ends[end]++;
-	bh__registry_note_end(g->registry, c->endpoint_id, c->endpoint_life,
+	bh__registry_note_end(g->registry, c->endpoint_id, c->endpoint_incarnation,
 						  end == BH__DISPATCH_ANSWERED  ? BH__USE_SERVED
 						  : end == BH__DISPATCH_REFUSED ? BH__USE_REFUSED
 						  : end == BH__DISPATCH_STOPPED ? BH__USE_ABANDONED
@@ -337,8 +337,8 @@
 					: failed                   ? BH__RELEASE_FAILED
 											   : BH__RELEASE_DONE,
 					failed ? at_fault : BH__NO_ENDPOINT);
-	bh__retry_state_note_tried(&c->x, at_fault);
-	next = bh__retry_state_process_end(&c->x, end, gate_get_budget(g, c->service->name), now_us);
+	bh__retry_state_note_tried(&c->retry, at_fault);
+	next = bh__retry_state_process_end(&c->retry, end, gate_get_budget(g, c->service->name), now_us);
 	log_dispatch_end_(c, end, next, now_us);
 	call_act(c, next);
 }
@@ -386,7 +386,7 @@
 			  "request=%s endpoint=%s end=%s status=%d sendings=%u took_ms=%" G_GUINT64_FORMAT
 			  " next=%s at_fault=%s events=%" G_GUINT64_FORMAT " cause=\"%s\"",
 			  c->request->meta.request_id, e ? e->entry.id : "gone", BH__DispatchEndString[end],
-			  end == BH__DISPATCH_UNREACHABLE ? 0 : c->head.status, c->x.dispatches,
+			  end == BH__DISPATCH_UNREACHABLE ? 0 : c->head.status, c->retry.dispatches,
 			  (now_us - c->sent_us) / BH__MS_US, BH__NextActionString[next], c->head.meta.at_fault,
 			  c->events.events, cause);
 }
