--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -20,7 +20,7 @@
  * the answer. */
 #define PERMIT_WAIT_SHARE 0.5
 #define UNUSED_GRANTS_MAX 5 /* a request that has had more unusable grants than this is refused */
-#define QUARANTINED_MESSAGE                                                                                  \
+#define CRASHES_MESSAGE                                                                                      \
 	"endpoints have crashed each time they ran this request; it is not sent to any for now"
 /* Time allowed for evaluating a crash before the request is sent again: the liveness probe of the endpoint
  * and the reports of other nodes take 60 ms and a few hops. A request that had met three crashes and was sent
@@ -37,8 +37,8 @@
 #define RETRY_DRAIN_MAX_MS 10000
 #define BYTES_PER_TOKEN 4          /* estimate for a prompt whose token count the caller doesn't give */
 #define DEFAULT_ANSWER_TOKENS 1000 /* longest answer assumed if the caller gives no maximum */
-#define GENERATE_FACTOR                                                                                      \
-	2 /* a token takes up to this many decode steps while the engine prefills other prompts */
+/* A token takes up to this many decode steps while the engine prefills other prompts. */
+#define GENERATE_FACTOR 2
 #define ESTIMATE_FACTOR 2         /* an answer is up to this many times as long as the caller estimates */
 #define ESTIMATE_EXTRA_TOKENS 200 /* and up to this many tokens longer in addition */
 
@@ -400,7 +400,7 @@
 	crashes_note_refusal(c->gate->crashes);
 	log_event("refuse", "request=%s cause=held held_ms=%" G_GUINT64_FORMAT, c->request->meta.request_id,
 			  held_us / BH__MS_US);
-	abandon_(c, held_us / BH__MS_US, "crashes-endpoints", QUARANTINED_MESSAGE);
+	abandon_(c, held_us / BH__MS_US, "crashes-endpoints", CRASHES_MESSAGE);
 	return true;
 }
 
