--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -546,6 +546,7 @@
 	cluster_ask_again(c->gate->cluster, c);
 }
 
+/* Returns the call's admission state, which schedulers.c and limits.c change. */
 CallPlace *call_get_place(Call *c)
 {
 	return &c->admission;
@@ -836,6 +837,7 @@
 	evtimer_add(c->timer, &tv);
 }
 
+/* Timer callback of a call. */
 static void on_timer_(evutil_socket_t fd, short what, void *arg)
 {
 	(void)fd;
--- a/src/bayhoist-gate/call_internal.h
+++ b/src/bayhoist-gate/call_internal.h
@@ -26,18 +26,19 @@
 	BH__Fingerprint fingerprint; /* identical for each caller retry of the same request */
 	BH__RetryState retry;        /* retry state */
 	CallState state;
-	CallPlace admission;       /* admission state */
-	bool queued;               /* the scheduler keeps the ask waiting */
-	bool queued_logged;        /* the queueing has been logged */
-	unsigned unused_grants;    /* number of grants returned unused */
-	uint64_t asked_us;         /* when the last ask was sent, or the last sign of the scheduler received */
-	uint64_t permit_endpoint;  /* endpoint that a permit is asked for */
-	uint64_t send_at_us;       /* when the permit allows the dispatch; 0: no permit yet */
-	uint64_t suspected_us;     /* when CALL_SUSPECTED began */
-	uint64_t waited_before_us; /* estimate of how long the caller waited in earlier tries */
-	MemoryHold *memory;        /* memory reserved on helpers; NULL: none */
-	Outbound *out;             /* connection of the current dispatch; NULL: none */
-	uint64_t endpoint_id;      /* endpoint of the current or last dispatch */
+	CallPlace admission;      /* admission state */
+	bool queued;              /* the scheduler keeps the ask waiting */
+	bool queued_logged;       /* the queueing has been logged */
+	unsigned unused_grants;   /* number of grants returned unused */
+	uint64_t asked_us;        /* when the last ask was sent, or the last sign of the scheduler received */
+	uint64_t permit_endpoint; /* endpoint that a permit is asked for */
+	uint64_t send_at_us;      /* when the permit allows the dispatch; 0: no permit yet */
+	uint64_t suspected_us;    /* when CALL_SUSPECTED began */
+	uint64_t
+		waited_before_us; /* estimate of how long the caller waited in earlier tries; 0: none or unknown */
+	MemoryHold *memory;   /* memory reserved on helpers; NULL: none */
+	Outbound *out;        /* connection of the current dispatch; NULL: none */
+	uint64_t endpoint_id; /* endpoint of the current or last dispatch */
 	uint64_t endpoint_incarnation; /* incarnation of that endpoint, see bh__registry_note_start() */
 	uint64_t sent_us;              /* when the current or last dispatch began */
 	uint32_t pauses;           /* number of gaps between received parts of the current dispatch's answer */
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -73,8 +73,8 @@
 	Crashes *crashes;            /* crash reports and quarantine */
 	BH__Routing *routing;        /* configuration in use; NULL: none yet */
 	char *routing_text;          /* text that `routing` was decoded from */
-	uint64_t routing_looked_us;  /* begin of the last platform read that showed `routing` to be the newest */
-	uint64_t no_routing_us;      /* begin of the last platform read that showed that there is none yet */
+	uint64_t routing_looked_us;  /* start of the last platform read that showed `routing` to be the newest */
+	uint64_t no_routing_us;      /* start of the last platform read that showed that there is none yet */
 	BH__Registry *registry;      /* registered endpoints */
 	BH__StartupState knowledge;  /* state loaded since the start */
 	bool startup_complete;       /* the startup state is complete, and calls that waited for it have begun */
