--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/sending.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* One sending of a request to an endpoint: what is written to it, what its answer is worth, and how that is
- * passed on. */
+/* One dispatch of a request to an endpoint: writes the request, classifies the answer, and forwards it to the
+ * caller. */
 #include "call_internal.h"
 
 #include <string.h>
@@ -8,12 +8,14 @@
 #include "crashes.h"
 #include "log.h"
 
-#define WHOLE_MAX (256 * 1024) /* bytes of an answer that are kept until it is whole, at most */
-/* A pause as long as so many passes without reading is told of to the scheduler. */
-#define LONG_PASS_FACTOR 2.0
-#define CAUSE_MAX 100 /* bytes of an endpoint's words on why it did not run a request that go to the log */
+/* Bytes of an answer that are buffered at most; a longer one is forwarded before it is complete. */
+#define BUFFERED_MAX (256 * 1024)
+/* A gap in an answer is reported to the scheduler if it lasts at least this many engine iterations without
+ * prefill. */
+#define LONG_ITERATION_FACTOR 2.0
+#define CAUSE_MAX 100 /* bytes of a refusal's body that are logged at most */
 
-static void log_send_(const Call *c, const BH__RegisteredEndpoint *e);
+static void log_dispatch_(const Call *c, const BH__RegisteredEndpoint *e);
 static void write_request_(Call *c, const BH__RegisteredEndpoint *e, struct evbuffer *out);
 static void fill_helpers_(const Call *c, SendingMeta *s);
 static void on_head_(void *ctx, const OutboundHead *head);
@@ -21,45 +23,47 @@
 static void note_signals_(const Call *c);
 static void note_pause_(Call *c, uint64_t pause_us);
 static void on_end_(void *ctx, OutboundEnd end);
-static void report_(Call *c, BH__DispatchEnd end, uint64_t at_fault);
-static BH__DispatchEnd judge_head_(const Call *c, bool *judged);
-static BH__DispatchEnd judge_end_(const Call *c, OutboundEnd end);
-static void pass_events_(Call *c);
-static void pass_on_(Call *c, const char *data, size_t len);
-static void tell_progress_(Call *c);
+static void report_crash_(Call *c, BH__DispatchEnd end, uint64_t at_fault);
+static BH__DispatchEnd classify_head_(const Call *c, bool *end_known);
+static BH__DispatchEnd classify_end_(const Call *c, OutboundEnd end);
+static void forward_events_(Call *c);
+static void forward_(Call *c, const char *data, size_t len);
+static void notify_progress_(Call *c);
 static uint64_t find_at_fault_(const Call *c);
-static void log_sending_(const Call *c, BH__DispatchEnd end, BH__NextAction next, uint64_t now_us);
+static void log_dispatch_end_(const Call *c, BH__DispatchEnd end, BH__NextAction next, uint64_t now_us);
 
 static const OutboundCallbacks Callbacks_ = {.on_head = on_head_, .on_body = on_body_, .on_end = on_end_};
 
-/* Sends the request to an endpoint, which must be registered. */
-void sending_start(Call *c, uint64_t endpoint_id)
+/* Dispatches the request to an endpoint, which must be registered. Resets the state of the last dispatch;
+ * what has come of an earlier answer's event stream stays, so that it can be resumed. */
+void dispatch_start(Call *c, uint64_t endpoint_id)
 {
 	Gate *g = c->gate;
 	BH__RegisteredEndpoint *e = bh__registry_find(g->registry, endpoint_id);
 	struct evbuffer *out = evbuffer_new();
 
-	c->state = CALL_SENDING;
+	c->state = CALL_DISPATCHED;
 	c->endpoint_id = endpoint_id;
 	c->sent_us = clock_now_us();
 	c->received_us = c->sent_us;
-	c->judged = false;
-	c->passing = false;
-	c->told_progress = false;
+	c->end_known = false;
+	c->is_streaming = false;
+	c->progress_notified = false;
 	c->pauses = 0;
 	evbuffer_drain(c->body, evbuffer_get_length(c->body));
 	write_request_(c, e, out);
 	g->counters.dispatches++;
-	c->endpoint_life = bh__registry_note_start(g->registry, endpoint_id);
-	log_send_(c, e);
+	c->endpoint_incarnation = bh__registry_note_start(g->registry, endpoint_id);
+	log_dispatch_(c, e);
 	c->out = outbound_start(g, e->entry.address, out, &Callbacks_, c);
 	evbuffer_free(out);
 	call_set_timer(c, c->sent_us);
 }
 
-static void log_send_(const Call *c, const BH__RegisteredEndpoint *e)
+/* Logs a dispatch with its helpers; "/memory" marks a helper that holds reserved memory. */
+static void log_dispatch_(const Call *c, const BH__RegisteredEndpoint *e)
 {
-	const BH__Grant *g = &c->place.grant;
+	const BH__Grant *g = &c->admission.grant;
 	GString *helpers = g_string_new(NULL);
 
 	for (unsigned i = 1; g->grant_id && i < g->member_count; i++) {
@@ -72,13 +76,14 @@
 			  " sendings=%u after=%s left_ms=%" G_GUINT64_FORMAT " expected_ms=%" G_GUINT64_FORMAT
 			  " limit_per_s=%.3f helpers=%s",
 			  c->request->meta.request_id, e->entry.id, c->service->name, c->request->meta.prompt_tokens,
-			  c->x.dispatches, c->events.last_id, (c->x.deadline_us - c->sent_us) / BH__MS_US,
+			  c->retry.dispatches, c->events.last_id, (c->retry.deadline_us - c->sent_us) / BH__MS_US,
 			  g->grant_id ? g->expected_us / BH__MS_US : 0,
-			  e->signals.advertised.in_force ? e->signals.advertised.per_s : -1.0, helpers->str);
+			  e->signals.named.in_force ? e->signals.named.per_s : -1.0, helpers->str);
 	g_string_free(helpers, TRUE);
 }
 
-/* Writes the request as the endpoint is to get it. */
+/* Writes the HTTP request for the endpoint: the caller's headers that are passed through, the platform's own
+ * ones, and the body. */
 static void write_request_(Call *c, const BH__RegisteredEndpoint *e, struct evbuffer *out)
 {
 	const InboundRequest *r = c->request;
@@ -87,7 +92,7 @@
 	SendingMeta s = {.endpoint = e->entry.id,
 					 .account = c->owner ? c->owner->name : NULL,
 					 .last_event_id = c->events.last_id[0] ? c->events.last_id : r->meta.last_event_id,
-					 .time_left_us = c->x.deadline_us - c->sent_us,
+					 .time_left_us = c->retry.deadline_us - c->sent_us,
 					 .urgency = -1};
 
 	fill_helpers_(c, &s);
@@ -100,11 +105,11 @@
 	evbuffer_add(out, r->body->data, r->body->len);
 }
 
-/* Names the engines that help read the prompt, but for those that have begun to leave. Those with memory come
- * first, since it is filled in their order. */
+/* Lists the grant's helpers, which prefill parts of the prompt, except those that take no work any more.
+ * Helpers with reserved memory come first, because their memory is filled in this order. */
 static void fill_helpers_(const Call *c, SendingMeta *s)
 {
-	const BH__Grant *g = &c->place.grant;
+	const BH__Grant *g = &c->admission.grant;
 
 	if (!g->grant_id)
 		return;
@@ -122,7 +127,8 @@
 	}
 }
 
-/* The head of an answer came. */
+/* Processes the head of an answer: classifies it, takes the endpoint's load and signals, and decides whether
+ * the answer is forwarded as a stream. */
 static void on_head_(void *ctx, const OutboundHead *head)
 {
 	Call *c = ctx;
@@ -135,105 +141,114 @@
 	if (head->meta.has_load)
 		bh__registry_note_load(c->gate->registry, c->endpoint_id, head->meta.running, head->meta.waiting,
 							   c->received_us);
-	c->judgement = judge_head_(c, &c->judged);
+	c->known_end = classify_head_(c, &c->end_known);
 	note_signals_(c);
-	c->passing = !c->judged && c->rule->streams && head->status / 100 == 2;
+	c->is_streaming = !c->end_known && c->rule->streams && head->status / 100 == 2;
 	call_set_timer(c, c->received_us);
 }
 
-/* Takes the signals of the answer's endpoint. An answer that another endpoint at its address gave says
- * nothing of it. */
+/* Records the endpoint signals in an answer's head. Skips an answer that another endpoint at the same address
+ * gave, since it says nothing about this one, and one whose status means that the request did not run. */
 static void note_signals_(const Call *c)
 {
 	const AnswerMeta *m = &c->head.meta;
-	bool is_others = c->judged && c->judgement == BH__DISPATCH_BROKEN;
+	bool is_foreign = c->end_known && c->known_end == BH__DISPATCH_BROKEN;
 	AnswerOrigin origin = {.endpoint_id = c->endpoint_id,
-						   .incarnation = c->endpoint_life,
+						   .incarnation = c->endpoint_incarnation,
 						   .sent_us = c->sent_us,
 						   .received_us = c->received_us,
 						   .status = c->head.status,
-						   .is_served = !c->judged && m->mac[0],
+						   .is_served = !c->end_known && m->mac[0],
 						   .request_id = c->request->meta.request_id};
 
-	if (!is_others && !c->gate->port->status_says_not_run(c->head.status))
+	if (!is_foreign && !c->gate->port->status_says_not_run(c->head.status))
 		signals_note_answer(c->gate, &origin, m);
 }
 
+/* Processes a part of the answer's body: forwards it, or buffers it up to BUFFERED_MAX bytes. Of an answer
+ * whose head has already decided the dispatch's end, only the first bytes are kept, for the log. */
 static void on_body_(void *ctx, const char *data, size_t len)
 {
 	Call *c = ctx;
 	uint64_t now_us;
 
-	if (c->judged) {
-		if (!evbuffer_get_length(c->body)) /* for the log */
+	if (c->end_known) {
+		if (!evbuffer_get_length(c->body))
 			evbuffer_add(c->body, data, MIN(len, (size_t)CAUSE_MAX));
 		return;
 	}
 	now_us = clock_now_us();
 	memory_hold_note_received(c->memory);
-	if (c->x.answer_begun)
+	if (c->retry.answer_begun)
 		note_pause_(c, now_us - c->received_us);
 	c->received_us = now_us;
 	evbuffer_add(c->body, data, len);
-	if (c->passing) {
-		pass_events_(c);
+	if (c->is_streaming) {
+		forward_events_(c);
 	}
-	else if (evbuffer_get_length(c->body) > inbound_get_answer_max(c->gate, WHOLE_MAX) || c->x.answer_begun) {
+	else if (evbuffer_get_length(c->body) > inbound_get_answer_max(c->gate, BUFFERED_MAX) ||
+			 c->retry.answer_begun) {
 		size_t n = evbuffer_get_length(c->body);
-		pass_on_(c, (const char *)evbuffer_pullup(c->body, -1), n);
+		forward_(c, (const char *)evbuffer_pullup(c->body, -1), n);
 		evbuffer_drain(c->body, n);
 	}
 }
 
-/* The answer has paused: if that was for a pass of the engine in which it read, its scheduler hears of it.
- * The first pause of an answer to a prompt that several engines read is not one pass (see placement.c). */
+/* Records a gap of `pause_us` in an answer. Reports it to the scheduler if it is long enough for an engine
+ * iteration with prefill. The first gap of an answer to a prompt that several engines prefill is not one
+ * iteration (see placement.c), so it isn't reported. */
 static void note_pause_(Call *c, uint64_t pause_us)
 {
-	double pass_ms = bh__engine_model_iteration_ms(&c->service->engine, 1, 0);
-	bool is_pass = c->pauses++ > 0 || c->place.grant.member_count < 2;
+	double iteration_ms = bh__engine_model_iteration_ms(&c->service->engine, 1, 0);
+	bool is_iteration = c->pauses++ > 0 || c->admission.grant.member_count < 2;
 
 	c->longest_pause_us = MAX(c->longest_pause_us, pause_us);
-	if (is_pass && c->passing && c->service->is_engine &&
-		(double)pause_us / 1000 >= pass_ms * LONG_PASS_FACTOR)
+	if (is_iteration && c->is_streaming && c->service->is_engine &&
+		(double)pause_us / 1000 >= iteration_ms * LONG_ITERATION_FACTOR)
 		cluster_notify_iteration(c->gate->cluster, c, pause_us);
 }
 
+/* Ends the dispatch when its connection has ended. The end that the head has decided takes precedence. */
 static void on_end_(void *ctx, OutboundEnd end)
 {
 	Call *c = ctx;
 
 	c->out = NULL;
-	sending_end(c, c->judged ? c->judgement : judge_end_(c, end));
+	dispatch_end(c, c->end_known ? c->known_end : classify_end_(c, end));
 }
 
-/* Judges what the head alone tells. `*judged` is false if that is nothing. */
-static BH__DispatchEnd judge_head_(const Call *c, bool *judged)
+/* Classifies a dispatch by the head of its answer: refused, or broken if the answer belongs to another
+ * request or has no proof that an endpoint gave it. Sets `*end_known` to false if the head alone doesn't
+ * decide; the result is meaningless then. */
+static BH__DispatchEnd classify_head_(const Call *c, bool *end_known)
 {
 	const AnswerMeta *m = &c->head.meta;
-	bool is_ours = !m->request_id[0] || !strcmp(m->request_id, c->request->meta.request_id);
+	bool is_own_request = !m->request_id[0] || !strcmp(m->request_id, c->request->meta.request_id);
 
-	*judged = true;
+	*end_known = true;
 	if (m->not_run || c->gate->port->status_says_not_run(c->head.status))
 		return BH__DISPATCH_REFUSED;
-	if (!is_ours || (c->head.status / 100 == 2 && (!m->mac[0] || !m->request_id[0]))) {
+	if (!is_own_request || (c->head.status / 100 == 2 && (!m->mac[0] || !m->request_id[0]))) {
 		c->gate->counters.bad_frames++;
 		return BH__DISPATCH_BROKEN;
 	}
-	*judged = false;
+	*end_known = false;
 	return BH__DISPATCH_BROKEN;
 }
 
-static BH__DispatchEnd judge_end_(const Call *c, OutboundEnd end)
+/* Classifies a dispatch whose head did not decide its end, by the end of its connection and by the status. A
+ * stream that ends within an event is broken. */
+static BH__DispatchEnd classify_end_(const Call *c, OutboundEnd end)
 {
 	if (end == OUTBOUND_UNREACHABLE)
 		return BH__DISPATCH_UNREACHABLE;
-	if (end == OUTBOUND_BROKEN || (c->passing && evbuffer_get_length(c->body) > 0))
+	if (end == OUTBOUND_BROKEN || (c->is_streaming && evbuffer_get_length(c->body) > 0))
 		return BH__DISPATCH_BROKEN;
 	return c->head.status >= 500 ? BH__DISPATCH_FAILED : BH__DISPATCH_ANSWERED;
 }
 
-/* Passes on the events that are whole. */
-static void pass_events_(Call *c)
+/* Forwards the complete events in the buffer, except those that the caller already has. */
+static void forward_events_(Call *c)
 {
 	size_t len = evbuffer_get_length(c->body);
 	const char *data = (const char *)evbuffer_pullup(c->body, -1);
@@ -244,43 +259,46 @@
 	while ((state = bh__event_stream_parse(&c->events, data + done, len - done, &event_len)) !=
 		   BH__EVENT_INCOMPLETE) {
 		if (state == BH__EVENT_RELAY)
-			pass_on_(c, data + done, event_len);
+			forward_(c, data + done, event_len);
 		done += event_len;
 	}
 	evbuffer_drain(c->body, done);
 	call_set_timer(c, c->received_us);
 }
 
-static void pass_on_(Call *c, const char *data, size_t len)
+/* Forwards answer data to the caller, beginning the answer if necessary. Pauses reading from the endpoint if
+ * the caller's connection can't take more. */
+static void forward_(Call *c, const char *data, size_t len)
 {
-	if (!c->told_progress && c->service->is_engine)
-		tell_progress_(c);
-	c->told_progress = true;
-	if (!c->x.answer_begun)
-		sending_begin_answer(c);
+	if (!c->progress_notified && c->service->is_engine)
+		notify_progress_(c);
+	c->progress_notified = true;
+	if (!c->retry.answer_begun)
+		dispatch_begin_answer(c);
 	if (!inbound_answer_more(c->in, data, len) && !c->paused) {
 		c->paused = true;
 		outbound_pause(c->out, true);
 	}
 }
 
-/* The answer has begun: the scheduler is told. */
-static void tell_progress_(Call *c)
+/* Logs that an engine's answer has begun and notifies the scheduler. */
+static void notify_progress_(Call *c)
 {
-	log_event("first-event",
-			  "request=%s took_ms=%" G_GUINT64_FORMAT " expected_ms=%" G_GUINT64_FORMAT
-			  " target_ms=%u parts=%u",
-			  c->request->meta.request_id, (c->received_us - c->sent_us) / BH__MS_US,
-			  c->place.grant.expected_us / BH__MS_US, c->rule->target_ms, c->place.grant.member_count);
+	log_event(
+		"first-event",
+		"request=%s took_ms=%" G_GUINT64_FORMAT " expected_ms=%" G_GUINT64_FORMAT " target_ms=%u parts=%u",
+		c->request->meta.request_id, (c->received_us - c->sent_us) / BH__MS_US,
+		c->admission.grant.expected_us / BH__MS_US, c->rule->target_ms, c->admission.grant.member_count);
 	cluster_notify_progress(c->gate->cluster, c);
 }
 
-void sending_begin_answer(Call *c)
+/* Sends the head of the answer to the caller; from then on the request can't be answered otherwise. */
+void dispatch_begin_answer(Call *c)
 {
 	uint64_t wait_us = c->received_us - c->request->arrived_us;
 
-	c->x.answer_begun = true;
-	c->x.may_have_run = true;
+	c->retry.answer_begun = true;
+	c->retry.may_have_run = true;
 	if (c->service->is_engine) {
 		bh__histogram_add(&c->gate->counters.first_event[bh__size_class(c->request->meta.prompt_tokens)],
 						  wait_us);
@@ -288,8 +306,9 @@
 	inbound_answer_begin(c->in, c->head.status, c->head.reason, c->head.headers);
 }
 
-/* A sending is over: what it held is given back, and the next step taken. */
-void sending_end(Call *c, BH__DispatchEnd end)
+/* Ends the current dispatch with the given result: cancels its connection if it is still open, releases its
+ * grant and memory, and takes the next action. May free the call. */
+void dispatch_end(Call *c, BH__DispatchEnd end)
 {
 	Gate *g = c->gate;
 	uint64_t now_us = clock_now_us();
@@ -302,7 +321,7 @@
 	c->out = NULL;
 	c->paused = false;
 	g->counters.sending_ends[end]++;
-	bh__registry_note_end(g->registry, c->endpoint_id, c->endpoint_life,
+	bh__registry_note_end(g->registry, c->endpoint_id, c->endpoint_incarnation,
 						  end == BH__DISPATCH_ANSWERED  ? BH__ENDPOINT_OUTCOME_SERVED
 						  : end == BH__DISPATCH_REFUSED ? BH__ENDPOINT_OUTCOME_REFUSED
 						  : end == BH__DISPATCH_STOPPED ? BH__ENDPOINT_OUTCOME_ABANDONED
@@ -310,7 +329,7 @@
 						  now_us);
 	if (end == BH__DISPATCH_REFUSED)
 		at_fault = find_at_fault_(c);
-	report_(c, end, at_fault);
+	report_crash_(c, end, at_fault);
 	memory_hold_delete(c->memory);
 	c->memory = NULL;
 	cluster_release(g->cluster, c,
@@ -318,30 +337,31 @@
 					: failed                   ? BH__RELEASE_FAILED
 											   : BH__RELEASE_DONE,
 					failed ? at_fault : BH__NO_ENDPOINT);
-	bh__retry_state_note_tried(&c->x, at_fault);
-	next = bh__retry_state_process_end(&c->x, end, gate_get_budget(g, c->service->name), now_us);
-	log_sending_(c, end, next, now_us);
+	bh__retry_state_note_tried(&c->retry, at_fault);
+	next = bh__retry_state_process_end(&c->retry, end, gate_get_budget(g, c->service->name), now_us);
+	log_dispatch_end_(c, end, next, now_us);
 	call_act(c, next);
 }
 
-/* Tells what the end of a sending says of the request: an endpoint that broke off, or a helper that is gone,
- * may have crashed under it. An answer that is not the caller's is no such sign, since its endpoint lives. */
-static void report_(Call *c, BH__DispatchEnd end, uint64_t at_fault)
+/* Reports the end of a dispatch to crashes.c: a completed answer, or a possible crash of an endpoint that
+ * broke off or of a helper that is gone. An answer to another request is no sign of a crash, since its
+ * endpoint is alive. */
+static void report_crash_(Call *c, BH__DispatchEnd end, uint64_t at_fault)
 {
 	Crashes *crashes = c->gate->crashes;
-	bool broke = end == BH__DISPATCH_BROKEN && !c->judged;
+	bool broke = end == BH__DISPATCH_BROKEN && !c->end_known;
 	bool helper_gone = end == BH__DISPATCH_REFUSED && at_fault != c->endpoint_id;
 
 	if (end == BH__DISPATCH_ANSWERED)
-		crashes_note_served(crashes, c->service->name, &c->fingerprint, c->was_aborted);
+		crashes_note_served(crashes, c->service->name, &c->fingerprint, c->crash_reported);
 	if (!broke && !helper_gone)
 		return;
-	c->was_aborted = true;
+	c->crash_reported = true;
 	crashes_note_broken(crashes, c->service->name, at_fault, &c->fingerprint, helper_gone);
 }
 
-/* Returns the endpoint that a refusal names as its cause, which may be a helper; else the one that refused.
- */
+/* Returns the id of the endpoint that a refusal names as its cause, which may be a helper, or of the endpoint
+ * that refused if none or an unknown one is named. */
 static uint64_t find_at_fault_(const Call *c)
 {
 	const BH__RegisteredEndpoint *e = NULL;
@@ -351,7 +371,8 @@
 	return e ? e->endpoint_id : c->endpoint_id;
 }
 
-static void log_sending_(const Call *c, BH__DispatchEnd end, BH__NextAction next, uint64_t now_us)
+/* Logs the end of a dispatch and the next action; for a refusal with the first bytes of its body. */
+static void log_dispatch_end_(const Call *c, BH__DispatchEnd end, BH__NextAction next, uint64_t now_us)
 {
 	const BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, c->endpoint_id);
 	char cause[CAUSE_MAX + 1] = "";
@@ -365,12 +386,12 @@
 			  "request=%s endpoint=%s end=%s status=%d sendings=%u took_ms=%" G_GUINT64_FORMAT
 			  " next=%s at_fault=%s events=%" G_GUINT64_FORMAT " cause=\"%s\"",
 			  c->request->meta.request_id, e ? e->entry.id : "gone", BH__DispatchEndString[end],
-			  end == BH__DISPATCH_UNREACHABLE ? 0 : c->head.status, c->x.dispatches,
+			  end == BH__DISPATCH_UNREACHABLE ? 0 : c->head.status, c->retry.dispatches,
 			  (now_us - c->sent_us) / BH__MS_US, BH__NextActionString[next], c->head.meta.at_fault,
 			  c->events.events, cause);
 }
 
-/* The caller has read what waited for it. */
+/* Resumes reading from the endpoint once the caller has taken the data that was queued for it. */
 void call_on_drained(Call *c)
 {
 	if (!c->paused || !c->out)
