--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -98,7 +98,7 @@
 	c->head.headers = g_string_new(NULL);
 	g_hash_table_add(g->calls, c);
 	g->counters.requests++;
-	if (bh__startup_state_get_progress(&g->knowledge, clock_now_us()) == BH__STARTUP_STATE_PENDING)
+	if (bh__startup_state_get_progress(&g->startup_state, clock_now_us()) == BH__STARTUP_STATE_PENDING)
 		call_set_timer(c, clock_now_us());
 	else
 		begin_(c);
@@ -119,14 +119,14 @@
 
 /* Processes a change of the startup state: the configuration, the endpoints or the duties have been read, or
  * a read has failed. Begins the calls in CALL_STARTING unless a part of that state is still on its way. */
-void calls_process_news(Gate *g)
+void calls_process_startup_state(Gate *g)
 {
 	BH__StartupProgress state;
 	GList *all;
 
 	if (gate_knows_endpoints(g))
-		cluster_process_early(g->cluster);
-	state = bh__startup_state_get_progress(&g->knowledge, clock_now_us());
+		cluster_process_deferred(g->cluster);
+	state = bh__startup_state_get_progress(&g->startup_state, clock_now_us());
 	if (state == BH__STARTUP_STATE_PENDING || g->startup_complete)
 		return;
 	g->startup_complete = state == BH__STARTUP_STATE_COMPLETE;
@@ -154,7 +154,7 @@
 		log_event("refuse",
 				  "request=%s cause=old-configuration age_ms=%" G_GUINT64_FORMAT
 				  " trust_ms=%" G_GUINT64_FORMAT,
-				  r->meta.request_id, g->routing ? (now_us - g->routing_looked_us) / BH__MS_US : 0,
+				  r->meta.request_id, g->routing ? (now_us - g->routing_read_us) / BH__MS_US : 0,
 				  g->settings.key_trust_ms);
 		refuse_(c, 503, retry_no_configuration_ms_(g, now_us), "no-configuration",
 				"this node does not know the newest configuration");
@@ -191,7 +191,7 @@
 		r->meta.request_id, fingerprint, c->rule->name, c->service->name, c->owner ? c->owner->name : "",
 		BH__RetryModeString[c->rule->retry_mode], r->meta.prompt_tokens, time_us / BH__MS_US,
 		c->waited_before_us / BH__MS_US, bh__routing_get_version(c->routing),
-		(now_us - g->routing_looked_us) / BH__MS_US);
+		(now_us - g->routing_read_us) / BH__MS_US);
 	g_strlcpy(c->admission.service, c->service->name, sizeof c->admission.service);
 	return true;
 }
@@ -216,7 +216,7 @@
 static uint64_t retry_no_configuration_ms_(const Gate *g, uint64_t now_us)
 {
 	const BH__Members *m = cluster_get_members(g->cluster);
-	uint64_t unknown_ms = (now_us - MAX(g->routing_looked_us, g->started_us)) / BH__MS_US;
+	uint64_t unknown_ms = (now_us - MAX(g->routing_read_us, g->started_us)) / BH__MS_US;
 
 	for (unsigned i = 1; i < bh__members_get_count(m); i++) {
 		const BH__MemberInfo *info = bh__members_get(m, i);
@@ -464,7 +464,7 @@
 /* Ends the calls of a request that has just been quarantined, except those whose answer has begun. Closing a
  * connection spares an endpoint that has not begun to run the request a crash, since endpoints drop a request
  * whose connection is closed. */
-void calls_process_held(Gate *g, const BH__Fingerprint *f)
+void calls_process_quarantined(Gate *g, const BH__Fingerprint *f)
 {
 	GList *all = g_hash_table_get_keys(g->calls);
 
@@ -547,7 +547,7 @@
 }
 
 /* Returns the call's admission state, which schedulers.c and limits.c change. */
-CallPlace *call_get_place(Call *c)
+CallAdmission *call_get_admission(Call *c)
 {
 	return &c->admission;
 }
@@ -697,7 +697,7 @@
 		if (c->retry.answer_begun)
 			inbound_answer_end(c->in);
 		else
-			inbound_answer_whole(c->in, c->head.status, c->head.reason, c->head.headers, c->body);
+			inbound_answer_complete(c->in, c->head.status, c->head.reason, c->head.headers, c->body);
 		finish_(c, CALL_SERVED, "served");
 		break;
 	case BH__NEXT_ACTION_PASS_THROUGH:
@@ -749,7 +749,7 @@
 		call_act(c, BH__NEXT_ACTION_FAIL);
 		return;
 	}
-	inbound_answer_whole(c->in, c->head.status, c->head.reason, c->head.headers, c->body);
+	inbound_answer_complete(c->in, c->head.status, c->head.reason, c->head.headers, c->body);
 	finish_(c, CALL_FAILED, "endpoint-answered-failure");
 }
 
@@ -811,7 +811,7 @@
  * caller waits. */
 static uint64_t starting_until_us_(const Call *c)
 {
-	uint64_t until_us = bh__startup_state_get_wait_until_us(&c->gate->knowledge);
+	uint64_t until_us = bh__startup_state_get_wait_until_us(&c->gate->startup_state);
 	uint64_t left_us = c->request->meta.time_left_us;
 
 	return left_us ? MIN(until_us, c->request->arrived_us + left_us) : until_us;
--- a/src/bayhoist-gate/call_internal.h
+++ b/src/bayhoist-gate/call_internal.h
@@ -26,7 +26,7 @@
 	BH__Fingerprint fingerprint; /* identical for each caller retry of the same request */
 	BH__RetryState retry;        /* retry state */
 	CallState state;
-	CallPlace admission;      /* admission state */
+	CallAdmission admission;  /* admission state */
 	bool queued;              /* the scheduler keeps the ask waiting */
 	bool queued_logged;       /* the queueing has been logged */
 	unsigned unused_grants;   /* number of grants returned unused */
--- a/src/bayhoist-gate/cluster_internal.h
+++ b/src/bayhoist-gate/cluster_internal.h
@@ -42,7 +42,7 @@
 	GHashTable *services; /* Service by name */
 	GHashTable *by_ask;   /* Call by ask id */
 	GQueue inbox;         /* BH__Message from this node to itself */
-	GQueue deferred;      /* EarlyAsk: asks that wait until this node may answer them */
+	GQueue deferred;      /* DeferredAsk: asks that wait until this node may answer them */
 	Signals *signals;
 	/* Services without a scheduler whose home is this node, by name. The value is the time (uint64_t, in us)
 	 * since which this node has been the home. */
@@ -93,11 +93,11 @@
 
 /* early_asks.c */
 void schedulers_process_ask(Cluster *c, const BH__Ask *ask, uint64_t now_us);
-void schedulers_process_early(Cluster *c, uint64_t now_us);
-void schedulers_drop_early(Cluster *c, uint64_t ask_id);
+void schedulers_process_deferred(Cluster *c, uint64_t now_us);
+void schedulers_drop_deferred(Cluster *c, uint64_t ask_id);
 
 /* planner_port.c */
 void schedulers_set_port(BH__PlannerPort *port);
-void schedulers_say_queued(Cluster *c, const BH__Ask *ask);
+void schedulers_notify_queued(Cluster *c, const BH__Ask *ask);
 
 #endif
--- a/src/bayhoist-gate/crashes.c
+++ b/src/bayhoist-gate/crashes.c
@@ -206,7 +206,7 @@
 	if (judged && e->state != BH__QUARANTINE_SUSPECTED && c->to_record->len < TO_RECORD_MAX)
 		g_array_append_val(c->to_record, *e);
 	if (e->state == BH__QUARANTINE_HELD)
-		calls_process_held(c->gate, &e->fingerprint);
+		calls_process_quarantined(c->gate, &e->fingerprint);
 }
 
 static void log_entry_(const Crashes *c, const char *what, const BH__QuarantineEntry *e)
--- a/src/bayhoist-gate/early_asks.c
+++ b/src/bayhoist-gate/deferred_asks.c
@@ -11,7 +11,7 @@
 typedef struct {
 	BH__Ask ask;
 	uint64_t arrived_us; /* when this node received it */
-} EarlyAsk;
+} DeferredAsk;
 
 static bool may_schedule_(const Cluster *c, const Service *s, uint64_t now_us);
 static GList *find_deferred_(Cluster *c, uint64_t ask_id);
@@ -22,7 +22,7 @@
 void schedulers_process_ask(Cluster *c, const BH__Ask *ask, uint64_t now_us)
 {
 	Service *s = schedulers_find(c, ask->pool_id);
-	EarlyAsk *e;
+	DeferredAsk *e;
 
 	if (may_schedule_(c, s, now_us)) {
 		bh__planner_process_ask(s->planner, ask, now_us);
@@ -30,11 +30,11 @@
 	}
 	if (find_deferred_(c, ask->ask_id) || g_queue_get_length(&c->deferred) >= DEFERRED_MAX)
 		return;
-	e = g_new0(EarlyAsk, 1);
+	e = g_new0(DeferredAsk, 1);
 	e->ask = *ask;
 	e->arrived_us = now_us;
 	g_queue_push_tail(&c->deferred, e);
-	schedulers_say_queued(c, ask);
+	schedulers_notify_queued(c, ask);
 }
 
 /* Returns true if this node's planner may answer asks: the endpoints are known, and a takeover of the service
@@ -48,13 +48,13 @@
 static GList *find_deferred_(Cluster *c, uint64_t ask_id)
 {
 	for (GList *it = c->deferred.head; it; it = it->next)
-		if (((const EarlyAsk *)it->data)->ask.ask_id == ask_id)
+		if (((const DeferredAsk *)it->data)->ask.ask_id == ask_id)
 			return it;
 	return NULL;
 }
 
 /* Removes an ask from the queue. Does nothing if it is not deferred. */
-void schedulers_drop_early(Cluster *c, uint64_t ask_id)
+void schedulers_drop_deferred(Cluster *c, uint64_t ask_id)
 {
 	GList *it = find_deferred_(c, ask_id);
 
@@ -67,10 +67,10 @@
 /* Hands the deferred asks that may be answered by now to their planners. An ask that has waited for
  * BH__TAKEOVER_MAX_US is answered even if this node still does not hold the duty, since its sender knows no
  * better scheduler. */
-void schedulers_process_early(Cluster *c, uint64_t now_us)
+void schedulers_process_deferred(Cluster *c, uint64_t now_us)
 {
 	for (guint n = g_queue_get_length(&c->deferred); n > 0; n--) {
-		EarlyAsk *e = g_queue_pop_head(&c->deferred);
+		DeferredAsk *e = g_queue_pop_head(&c->deferred);
 		Service *s = schedulers_find(c, e->ask.pool_id);
 		bool is_old = now_us >= e->arrived_us + BH__TAKEOVER_MAX_US;
 		if (may_schedule_(c, s, now_us) || (is_old && s && gate_knows_endpoints(c->gate))) {
@@ -84,9 +84,9 @@
 }
 
 /* Processes the deferred asks and the inbox once this node knows the endpoints. */
-void cluster_process_early(Cluster *c)
+void cluster_process_deferred(Cluster *c)
 {
-	schedulers_process_early(c, clock_now_us());
+	schedulers_process_deferred(c, clock_now_us());
 	cluster_drain_inbox(c);
 	cluster_schedule_waiting_tick(c);
 }
--- a/src/bayhoist-gate/sending.c
+++ b/src/bayhoist-gate/dispatch.c
@@ -17,7 +17,7 @@
 
 static void log_dispatch_(const Call *c, const BH__RegisteredEndpoint *e);
 static void write_request_(Call *c, const BH__RegisteredEndpoint *e, struct evbuffer *out);
-static void fill_helpers_(const Call *c, SendingMeta *s);
+static void fill_helpers_(const Call *c, DispatchMeta *s);
 static void on_head_(void *ctx, const OutboundHead *head);
 static void on_body_(void *ctx, const char *data, size_t len);
 static void note_signals_(const Call *c);
@@ -89,16 +89,16 @@
 	const InboundRequest *r = c->request;
 	bool has_body = r->body->len || !strcmp(r->method, "POST") || !strcmp(r->method, "PUT") ||
 					!strcmp(r->method, "PATCH");
-	SendingMeta s = {.endpoint = e->entry.id,
-					 .account = c->owner ? c->owner->name : NULL,
-					 .last_event_id = c->events.last_id[0] ? c->events.last_id : r->meta.last_event_id,
-					 .time_left_us = c->retry.deadline_us - c->sent_us,
-					 .urgency = -1};
+	DispatchMeta s = {.endpoint = e->entry.id,
+					  .account = c->owner ? c->owner->name : NULL,
+					  .last_event_id = c->events.last_id[0] ? c->events.last_id : r->meta.last_event_id,
+					  .time_left_us = c->retry.deadline_us - c->sent_us,
+					  .urgency = -1};
 
 	fill_helpers_(c, &s);
 	evbuffer_add_printf(out, "%s %s HTTP/1.1\r\n", r->method, r->target);
 	evbuffer_add(out, r->headers->str, r->headers->len);
-	c->gate->port->write_sending_headers(out, &r->meta, &s);
+	c->gate->port->write_dispatch_headers(out, &r->meta, &s);
 	if (has_body)
 		evbuffer_add_printf(out, "Content-Length: %u\r\n", r->body->len);
 	evbuffer_add(out, "\r\n", 2);
@@ -107,7 +107,7 @@
 
 /* Lists the grant's helpers, which prefill parts of the prompt, except those that take no work any more.
  * Helpers with reserved memory come first, because their memory is filled in this order. */
-static void fill_helpers_(const Call *c, SendingMeta *s)
+static void fill_helpers_(const Call *c, DispatchMeta *s)
 {
 	const BH__Grant *g = &c->admission.grant;
 
@@ -229,7 +229,7 @@
 	if (m->not_run || c->gate->port->status_says_not_run(c->head.status))
 		return BH__DISPATCH_REFUSED;
 	if (!is_own_request || (c->head.status / 100 == 2 && (!m->mac[0] || !m->request_id[0]))) {
-		c->gate->counters.bad_frames++;
+		c->gate->counters.bad_answers++;
 		return BH__DISPATCH_BROKEN;
 	}
 	*end_known = false;
@@ -320,7 +320,7 @@
 		outbound_cancel(c->out);
 	c->out = NULL;
 	c->paused = false;
-	g->counters.sending_ends[end]++;
+	g->counters.dispatch_ends[end]++;
 	bh__registry_note_end(g->registry, c->endpoint_id, c->endpoint_incarnation,
 						  end == BH__DISPATCH_ANSWERED  ? BH__ENDPOINT_OUTCOME_SERVED
 						  : end == BH__DISPATCH_REFUSED ? BH__ENDPOINT_OUTCOME_REFUSED
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -37,18 +37,18 @@
 
 /* Counts since the start, and distributions of times in microseconds. */
 typedef struct {
-	uint64_t requests;                             /* requests received */
-	uint64_t outcomes[CALL_OUTCOME_COUNT];         /* requests ended, by outcome */
-	uint64_t dispatches;                           /* requests sent to endpoints */
-	uint64_t sending_ends[BH__DISPATCH_END_COUNT]; /* dispatches ended, by result */
-	uint64_t repeats;                              /* decisions to dispatch a request again */
-	uint64_t resumes;                              /* those of them that resume a stream */
+	uint64_t requests;                              /* requests received */
+	uint64_t outcomes[CALL_OUTCOME_COUNT];          /* requests ended, by outcome */
+	uint64_t dispatches;                            /* requests sent to endpoints */
+	uint64_t dispatch_ends[BH__DISPATCH_END_COUNT]; /* dispatches ended, by result */
+	uint64_t repeats;                               /* decisions to dispatch a request again */
+	uint64_t resumes;                               /* those of them that resume a stream */
 	uint64_t local_grants;      /* placements by this node because the scheduler did not answer */
 	uint64_t denied_keys;       /* requests refused for an unknown or missing API key */
 	uint64_t no_route;          /* requests that match no route */
 	uint64_t stale_refusals;    /* requests refused because the routing was missing or too old */
 	uint64_t directory_answers; /* answers of the directory */
-	uint64_t bad_frames;        /* answers to another request, or without proof that an endpoint gave them */
+	uint64_t bad_answers;       /* answers to another request, or without proof that an endpoint gave them */
 	uint64_t limit_changes;     /* changes of endpoints' rate limits */
 	uint64_t signals[BH__SIGNAL_KIND_COUNT];            /* answers with a valid signal, by kind */
 	uint64_t unreadable_signals[BH__SIGNAL_KIND_COUNT]; /* answers with an invalid signal, by kind */
@@ -69,24 +69,24 @@
 	struct event_base *base;
 	void *binding;               /* state of the platform's binding */
 	Cluster *cluster;            /* membership, schedulers and messages between nodes */
-	PlatformSync *looks;         /* platform sync */
+	PlatformSync *platform_sync; /* platform sync */
 	Crashes *crashes;            /* crash reports and quarantine */
 	BH__Routing *routing;        /* configuration in use; NULL: none yet */
 	char *routing_text;          /* text that `routing` was decoded from */
-	uint64_t routing_looked_us;  /* start of the last platform read that showed `routing` to be the newest */
-	uint64_t no_routing_us;      /* start of the last platform read that showed that there is none yet */
+	uint64_t routing_read_us;    /* start of the last platform read that showed `routing` to be the newest */
+	uint64_t no_routing_read_us; /* start of the last platform read that showed that there is none yet */
 	BH__Registry *registry;      /* registered endpoints */
-	BH__StartupState knowledge;  /* state loaded since the start */
-	bool startup_complete;       /* the startup state is complete, and calls that waited for it have begun */
-	uint64_t registry_seen;      /* registry version that the planners have applied */
-	uint64_t halls_seen;         /* version of the halls' states that was last logged */
-	BH__StoreVersion place_seen; /* last store version that the registry showed */
-	GHashTable *budgets;         /* BH__ServiceRetryBudget by service name */
-	GHashTable *route_times;     /* RouteTimes by route name */
-	GHashTable *calls;           /* set of live Call */
-	GHashTable *unknown_headers; /* uint64_t counts of answers with a header unknown here, by its name */
-	GHashTable *inbounds;        /* set of open Inbound */
-	BH__MemoryBudget room;       /* memory budget for buffered requests and answers */
+	BH__StartupState startup_state; /* state loaded since the start */
+	bool startup_complete; /* the startup state is complete, and calls that waited for it have begun */
+	uint64_t registry_version_applied;   /* registry version that the planners have applied */
+	uint64_t halls_version_logged;       /* version of the halls' states that was last logged */
+	BH__StoreVersion store_version_seen; /* last store version that the registry showed */
+	GHashTable *budgets;                 /* BH__ServiceRetryBudget by service name */
+	GHashTable *route_times;             /* RouteTimes by route name */
+	GHashTable *calls;                   /* set of live Call */
+	GHashTable *unknown_headers;     /* uint64_t counts of answers with a header unknown here, by its name */
+	GHashTable *inbounds;            /* set of open Inbound */
+	BH__MemoryBudget memory_budget;  /* memory budget for buffered requests and answers */
 	struct evconnlistener *listener; /* for callers */
 	struct evhttp *web[3];           /* directory, readiness, control */
 	GPtrArray *own_events;           /* timers and signal handlers of main.c */
@@ -105,12 +105,12 @@
 void gate_set_routing(Gate *g, BH__Routing *routing, const char *text, uint64_t platform_read_us);
 void gate_note_no_configuration(Gate *g, uint64_t platform_read_us);
 void gate_note_configuration_asked(Gate *g, uint64_t answer_us);
-void gate_note_configuration_lost(Gate *g);
-void gate_note_look(Gate *g, uint64_t platform_read_us);
+void gate_note_configuration_failed(Gate *g);
+void gate_note_platform_read(Gate *g, uint64_t platform_read_us);
 void gate_note_registry(Gate *g, uint64_t platform_read_us);
-void gate_presume_node(Gate *g, const char *duty, const BH__MemberInfo *info);
+void gate_add_unconfirmed_node(Gate *g, const char *duty, const BH__MemberInfo *info);
 void gate_note_duties(Gate *g);
-void gate_learn_held(Gate *g, const BH__QuarantineEntry *aged);
+void gate_merge_quarantined(Gate *g, const BH__QuarantineEntry *aged);
 BH__ServiceRetryBudget *gate_get_budget(Gate *g, const char *service);
 
 /* inbound.c */
@@ -130,8 +130,8 @@
 const InboundRequest *inbound_get_request(const Inbound *in);
 void inbound_answer_own(Inbound *in, int status, uint64_t retry_after_ms, const char *code,
 						const char *message);
-void inbound_answer_whole(Inbound *in, int status, const char *reason, const GString *headers,
-						  struct evbuffer *body);
+void inbound_answer_complete(Inbound *in, int status, const char *reason, const GString *headers,
+							 struct evbuffer *body);
 void inbound_answer_begin(Inbound *in, int status, const char *reason, const GString *headers);
 bool inbound_answer_more(Inbound *in, const char *data, size_t len);
 uint64_t inbounds_get_answer_bytes(const Gate *g);
@@ -179,7 +179,7 @@
 	BH__Grant grant;            /* grant held; grant_id 0: none */
 	uint64_t granted_us;        /* when the grant was received */
 	char service[BH__NAME_LEN]; /* name of the service */
-} CallPlace;
+} CallAdmission;
 
 Call *call_start(Gate *g, Inbound *in);
 void call_on_caller_gone(Call *c);
@@ -189,9 +189,9 @@
 void call_on_queued(Call *c);
 void call_on_permit(Call *c, bool granted, uint64_t wait_us);
 void call_on_scheduler_lost(Call *c);
-CallPlace *call_get_place(Call *c);
-void calls_process_news(Gate *g);
-void calls_process_held(Gate *g, const BH__Fingerprint *f);
+CallAdmission *call_get_admission(Call *c);
+void calls_process_startup_state(Gate *g);
+void calls_process_quarantined(Gate *g, const BH__Fingerprint *f);
 void calls_stop(Gate *g);
 void calls_free(Gate *g);
 
@@ -214,7 +214,7 @@
 void cluster_add_seed(Cluster *c, const char *peer_address);
 void cluster_join(Cluster *c);
 void cluster_add_unconfirmed(Cluster *c, const BH__MemberInfo *info);
-void cluster_process_early(Cluster *c);
+void cluster_process_deferred(Cluster *c);
 bool cluster_awaits(Cluster *c, uint64_t node_id);
 void cluster_leave(Cluster *c, uint64_t now_us);
 void cluster_apply_routing(Cluster *c, uint64_t now_us);
--- a/src/bayhoist-gate/halls.c
+++ b/src/bayhoist-gate/halls.c
@@ -14,9 +14,9 @@
 {
 	char store_version[BH__STORE_VERSION_TEXT_LEN];
 
-	if (g->halls_seen == bh__registry_get_halls_version(g->registry))
+	if (g->halls_version_logged == bh__registry_get_halls_version(g->registry))
 		return;
-	g->halls_seen = bh__registry_get_halls_version(g->registry);
+	g->halls_version_logged = bh__registry_get_halls_version(g->registry);
 	for (unsigned i = 0; i < bh__registry_get_hall_count(g->registry); i++) {
 		const BH__HallDrain *d = bh__registry_get_hall(g->registry, i);
 		log_event("hall", "hall=%s what=%s since=%s requests=%u", d->name, d->draining ? "drains" : "in-use",
--- a/src/bayhoist-gate/inbound.c
+++ b/src/bayhoist-gate/inbound.c
@@ -230,7 +230,7 @@
 {
 	uint64_t arrived_us = in->request.arrived_us;
 
-	bh__memory_budget_release_request(&in->gate->room, in->kept);
+	bh__memory_budget_release_request(&in->gate->memory_budget, in->kept);
 	in->kept = 0;
 	g_free(in->request.target);
 	g_free(in->request.host);
@@ -400,7 +400,7 @@
 /* Keeps so much more of a request. Returns false if the node has no room for it: it is refused. */
 static bool keep_(Inbound *in, size_t len)
 {
-	if (!bh__memory_budget_reserve_request(&in->gate->room, len)) {
+	if (!bh__memory_budget_reserve_request(&in->gate->memory_budget, len)) {
 		set_fault_(in, 503, "this node keeps as many requests as its memory holds");
 		return false;
 	}
@@ -456,8 +456,8 @@
 }
 
 /* Answers with an endpoint's whole answer; takes the bytes of `body`. */
-void inbound_answer_whole(Inbound *in, int status, const char *reason, const GString *headers,
-						  struct evbuffer *body)
+void inbound_answer_complete(Inbound *in, int status, const char *reason, const GString *headers,
+							 struct evbuffer *body)
 {
 	struct evbuffer *out = bufferevent_get_output(in->bev);
 
@@ -499,7 +499,7 @@
 /* Returns how many bytes of one answer the node keeps, `max` at most. */
 size_t inbound_get_answer_max(const Gate *g, size_t max)
 {
-	return bh__memory_budget_get_answer_max(&g->room, g_hash_table_size(g->inbounds), max);
+	return bh__memory_budget_get_answer_max(&g->memory_budget, g_hash_table_size(g->inbounds), max);
 }
 
 /* Sends more of an answer. Returns false if the caller reads so slowly that the endpoint should wait. */
@@ -554,7 +554,7 @@
 		false; /* but for its body the request is kept until the next begins: its call may look at it */
 	g_byte_array_unref(in->request.body);
 	in->request.body = g_byte_array_new();
-	bh__memory_budget_release_request(&in->gate->room, in->kept);
+	bh__memory_budget_release_request(&in->gate->memory_budget, in->kept);
 	in->kept = 0;
 	in->head_done = false;
 	rest_(in);
--- a/src/bayhoist-gate/limits.c
+++ b/src/bayhoist-gate/limits.c
@@ -83,7 +83,7 @@
 void cluster_ask_permit(Cluster *c, Call *call, const BH__RegisteredEndpoint *e, uint64_t max_wait_us)
 {
 	const BH__MemberInfo *self = bh__members_get_self(c->members);
-	CallPlace *p = call_get_place(call);
+	CallAdmission *p = call_get_admission(call);
 	BH__Message m = {.type = BH__MESSAGE_PERMIT_ASK};
 
 	cluster_drop_ask(c, call);
@@ -131,8 +131,8 @@
 		call = g_hash_table_lookup(c->by_ask, &m->as.permit.ask_id);
 		if (!call)
 			return true;
-		g_hash_table_remove(c->by_ask, &call_get_place(call)->ask.ask_id);
-		call_get_place(call)->ask.ask_id = 0;
+		g_hash_table_remove(c->by_ask, &call_get_admission(call)->ask.ask_id);
+		call_get_admission(call)->ask.ask_id = 0;
 		call_on_permit(call, m->as.permit.granted, m->as.permit.wait_us);
 		return true;
 	default:
--- a/src/bayhoist-gate/main.c
+++ b/src/bayhoist-gate/main.c
@@ -84,11 +84,11 @@
 
 	g->boot_id = clock_new_boot_id();
 	g->started_us = clock_now_us();
-	bh__startup_state_init(&g->knowledge, g->started_us);
+	bh__startup_state_init(&g->startup_state, g->started_us);
 	log_init(g->settings.name, g->settings.hall, g->boot_id);
 	log_set_buffered(true);
 	log_set_limit(LOG_LINES_PER_S);
-	g->room.memory_bytes = g->settings.memory_mb * MB;
+	g->memory_budget.memory_bytes = g->settings.memory_mb * MB;
 	g->base = event_base_new();
 	g->port = &PlatformGatePort;
 	g->registry = bh__registry_new((uint32_t)g->boot_id);
@@ -99,7 +99,7 @@
 	g->unknown_headers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	g->own_events = g_ptr_array_new_with_free_func((GDestroyNotify)event_free);
 	started = cluster_start(g);
-	g->looks = platform_sync_new(g);
+	g->platform_sync = platform_sync_new(g);
 	g->crashes = crashes_new(g);
 	if (!started || !web_start(g) || !inbounds_listen(g) || !g->port->start(g)) {
 		log_error("start-failed", "caller_address=%s peer_address=%s cause=\"%s\"",
@@ -108,8 +108,8 @@
 	}
 	add_seeds_(g);
 	cluster_join(g->cluster);
-	bh__platform_sync_process_tick(platform_sync_get(g->looks), g->started_us);
-	g->port->find_duties(g);
+	bh__platform_sync_process_tick(platform_sync_get(g->platform_sync), g->started_us);
+	g->port->read_duties(g);
 	add_event_(g, evsignal_new(g->base, SIGTERM, on_terminate_, g), NULL);
 	add_event_(g, evsignal_new(g->base, SIGINT, on_terminate_, g), NULL);
 	add_event_(g, evsignal_new(g->base, SIGHUP, on_reload_, g), NULL);
@@ -148,7 +148,7 @@
 {
 	uint64_t trust_us = (uint64_t)((double)g->settings.key_trust_ms * KEY_TRUST_SHARE * BH__MS_US);
 
-	return g->routing && (!trust_us || now_us < g->routing_looked_us + trust_us);
+	return g->routing && (!trust_us || now_us < g->routing_read_us + trust_us);
 }
 
 /* Returns true if callers should be sent here. */
@@ -176,48 +176,48 @@
 		g->routing_text = g_strdup(text);
 		cluster_apply_routing(g->cluster, clock_now_us());
 	}
-	gate_note_look(g, looked_us);
-	bh__platform_sync_process_update(platform_sync_get(g->looks), clock_now_us());
+	gate_note_platform_read(g, looked_us);
+	bh__platform_sync_process_update(platform_sync_get(g->platform_sync), clock_now_us());
 }
 
 /* A look has shown that the operators have not written a configuration yet. */
 void gate_note_no_configuration(Gate *g, uint64_t looked_us)
 {
-	g->no_routing_us = looked_us;
-	gate_note_configuration_lost(g);
+	g->no_routing_read_us = looked_us;
+	gate_note_configuration_failed(g);
 }
 
 /* The configuration is being read; within `answer_us` that ends or fails. */
 void gate_note_configuration_asked(Gate *g, uint64_t answer_us)
 {
-	bh__startup_state_note_asked(&g->knowledge, answer_us, clock_now_us());
+	bh__startup_state_note_asked(&g->startup_state, answer_us, clock_now_us());
 }
 
 /* It was read in vain: calls that wait for it are refused, unless it comes from another node at once. */
-void gate_note_configuration_lost(Gate *g)
+void gate_note_configuration_failed(Gate *g)
 {
-	bh__startup_state_note_failed(&g->knowledge);
-	calls_process_news(g);
+	bh__startup_state_note_failed(&g->startup_state);
+	calls_process_startup_state(g);
 }
 
 /* The configuration that is held was the newest when a look was begun. */
-void gate_note_look(Gate *g, uint64_t looked_us)
+void gate_note_platform_read(Gate *g, uint64_t looked_us)
 {
-	if (looked_us > g->routing_looked_us)
-		g->routing_looked_us = looked_us;
-	if (g->routing && g->routing_looked_us)
-		bh__startup_state_note_configuration(&g->knowledge, clock_now_us());
-	calls_process_news(g);
+	if (looked_us > g->routing_read_us)
+		g->routing_read_us = looked_us;
+	if (g->routing && g->routing_read_us)
+		bh__startup_state_note_configuration(&g->startup_state, clock_now_us());
+	calls_process_startup_state(g);
 }
 
 /* Returns true once the configuration and the endpoints have been learnt since the start. */
 bool gate_knows_endpoints(const Gate *g)
 {
-	return bh__startup_state_has_endpoints(&g->knowledge);
+	return bh__startup_state_has_endpoints(&g->startup_state);
 }
 
 /* A node is recorded to do a duty: it is taken for alive until it is heard from or turns out not to be. */
-void gate_presume_node(Gate *g, const char *duty, const BH__MemberInfo *info)
+void gate_add_unconfirmed_node(Gate *g, const char *duty, const BH__MemberInfo *info)
 {
 	log_event("duty", "what=presumed duty=%s node=%s", duty, info->name);
 	cluster_add_unconfirmed(g->cluster, info);
@@ -226,12 +226,12 @@
 /* The record of duties has been read, as far as it can be. */
 void gate_note_duties(Gate *g)
 {
-	bh__startup_state_note_duties(&g->knowledge, clock_now_us());
-	calls_process_news(g);
+	bh__startup_state_note_duties(&g->startup_state, clock_now_us());
+	calls_process_startup_state(g);
 }
 
 /* A request is recorded to be held; `since_us` of the entry is its age. */
-void gate_learn_held(Gate *g, const BH__QuarantineEntry *aged)
+void gate_merge_quarantined(Gate *g, const BH__QuarantineEntry *aged)
 {
 	crashes_learn(g->crashes, aged, clock_now_us());
 }
@@ -241,13 +241,13 @@
 {
 	BH__StoreVersion place = bh__registry_get_store_version(g->registry);
 
-	if (!bh__store_version_is_zero(g->place_seen) && place.era > g->place_seen.era) {
-		log_event("store", "what=era was=%" G_GUINT64_FORMAT " now=%" G_GUINT64_FORMAT, g->place_seen.era,
-				  place.era);
+	if (!bh__store_version_is_zero(g->store_version_seen) && place.era > g->store_version_seen.era) {
+		log_event("store", "what=era was=%" G_GUINT64_FORMAT " now=%" G_GUINT64_FORMAT,
+				  g->store_version_seen.era, place.era);
 		cluster_apply_era(g->cluster);
 		crashes_follow_era(g->crashes);
 	}
-	g->place_seen = place;
+	g->store_version_seen = place;
 }
 
 /* The registry shows the endpoints as they were when a look was begun: the planners follow those that came or
@@ -255,19 +255,19 @@
 void gate_note_registry(Gate *g, uint64_t looked_us)
 {
 	if (looked_us)
-		bh__platform_sync_note_read_answered(platform_sync_get(g->looks), looked_us, clock_now_us());
-	if (bh__platform_sync_get_as_of_us(platform_sync_get(g->looks)))
-		bh__startup_state_note_endpoints(&g->knowledge, clock_now_us());
+		bh__platform_sync_note_read_answered(platform_sync_get(g->platform_sync), looked_us, clock_now_us());
+	if (bh__platform_sync_get_as_of_us(platform_sync_get(g->platform_sync)))
+		bh__startup_state_note_endpoints(&g->startup_state, clock_now_us());
 	bh__registry_process_tick(g->registry, clock_now_us());
 	follow_era_(g);
 	halls_log_changes(g);
-	if (g->registry_seen != bh__registry_get_version(g->registry)) {
-		g->registry_seen = bh__registry_get_version(g->registry);
+	if (g->registry_version_applied != bh__registry_get_version(g->registry)) {
+		g->registry_version_applied = bh__registry_get_version(g->registry);
 		cluster_apply_registry(g->cluster, clock_now_us());
 		crashes_follow_registry(g->crashes, clock_now_us());
 	}
-	bh__platform_sync_process_update(platform_sync_get(g->looks), clock_now_us());
-	calls_process_news(g);
+	bh__platform_sync_process_update(platform_sync_get(g->platform_sync), clock_now_us());
+	calls_process_startup_state(g);
 }
 
 /* Returns the budget of repeated sendings to a service, of which this node has an even part. */
@@ -347,7 +347,7 @@
 	g->settings.directory_ttl_max_s = s.directory_ttl_max_s;
 	g->settings.repeat_share = s.repeat_share;
 	g->settings.repeat_extra = s.repeat_extra;
-	platform_sync_apply_settings(g->looks);
+	platform_sync_apply_settings(g->platform_sync);
 	gate_settings_finish(&s);
 	log_event("reload", "what=done");
 }
@@ -365,7 +365,7 @@
 	web_stop(g);
 	crashes_delete(g->crashes);
 	cluster_free(g->cluster);
-	platform_sync_delete(g->looks);
+	platform_sync_delete(g->platform_sync);
 	event_base_loop(g->base, EVLOOP_NONBLOCK); /* frees what was left to the loop */
 	g_ptr_array_unref(g->own_events);
 	event_base_free(g->base);
--- a/src/bayhoist-gate/outbound.c
+++ b/src/bayhoist-gate/outbound.c
@@ -129,7 +129,7 @@
 			end_(o, OUTBOUND_DONE);
 		}
 		else if (failed || o->head_bytes > HEAD_MAX) {
-			o->gate->counters.bad_frames++;
+			o->gate->counters.bad_answers++;
 			end_(o, OUTBOUND_BROKEN);
 		}
 	}
@@ -207,7 +207,7 @@
 
 static void store_field_(Outbound *o)
 {
-	HeaderUse use;
+	HeaderAction use;
 	bool drop = false;
 
 	for (size_t k = 0; k < G_N_ELEMENTS(ConnectionFields_) && !drop; k++)
--- a/src/bayhoist-gate/planner_port.c
+++ b/src/bayhoist-gate/planner_port.c
@@ -23,7 +23,7 @@
 }
 
 /* Notifies the node that sent an ask that the ask is queued here. */
-void schedulers_say_queued(Cluster *c, const BH__Ask *ask)
+void schedulers_notify_queued(Cluster *c, const BH__Ask *ask)
 {
 	BH__Message m = {.type = BH__MESSAGE_QUEUED};
 
@@ -56,7 +56,7 @@
 /* Notifies the node that asked that the planner keeps its ask waiting. */
 static void on_queued_(BH__PlannerPort *port, const BH__Ask *ask)
 {
-	schedulers_say_queued(((Service *)port)->cluster, ask);
+	schedulers_notify_queued(((Service *)port)->cluster, ask);
 }
 
 /* Frees the engine memory of a grant that its node abandoned. */
--- a/src/bayhoist-gate/platform_sync.c
+++ b/src/bayhoist-gate/platform_sync.c
@@ -126,8 +126,8 @@
 	const Gate *g = gate_(port);
 
 	return (BH__PlatformSyncConfiguration){.version = g->routing ? bh__routing_get_version(g->routing) : 0,
-										   .platform_read_us = g->routing_looked_us,
-										   .absent_read_us = g->no_routing_us};
+										   .platform_read_us = g->routing_read_us,
+										   .absent_read_us = g->no_routing_read_us};
 }
 
 static const char *get_configuration_text_(BH__PlatformSyncPort *port)
@@ -142,7 +142,7 @@
 
 static void confirm_configuration_(BH__PlatformSyncPort *port, uint64_t platform_read_us)
 {
-	gate_note_look(gate_(port), platform_read_us);
+	gate_note_platform_read(gate_(port), platform_read_us);
 }
 
 /* Applies registry changes that were merged from another node. */
@@ -208,6 +208,7 @@
 			  info ? info->name : "", m->as.sync.count, m->as.sync.gone_count,
 			  m->as.sync.is_complete ? "yes" : "no",
 			  bh__store_version_write(m->as.sync.store_version, store_version), old_count,
-			  (now_us - MIN(now_us, bh__platform_sync_get_as_of_us(g->looks->sync))) / BH__MS_US, names->str);
+			  (now_us - MIN(now_us, bh__platform_sync_get_as_of_us(g->platform_sync->sync))) / BH__MS_US,
+			  names->str);
 	g_string_free(names, TRUE);
 }
--- a/src/bayhoist-gate/port.h
+++ b/src/bayhoist-gate/port.h
@@ -42,7 +42,7 @@
 		const char *address;
 		const char *memory_id;       /* id of the memory reserved there; NULL: none */
 	} helper[BH__GRANT_MEMBERS_MAX]; /* engines that prefill parts of the prompt, those with memory first */
-} SendingMeta;
+} DispatchMeta;
 
 /* What an endpoint's headers say, apart from those that are passed through unchanged. */
 typedef struct {
@@ -62,7 +62,7 @@
 	HEADER_PASS,    /* passes it through unchanged */
 	HEADER_UNKNOWN, /* passes it through unchanged and counts it as unknown to the binding */
 	HEADER_DROP     /* removes it: the gateway sets it itself, or the receiver has no use for it */
-} HeaderUse;
+} HeaderAction;
 
 /* The endpoint that a request of the gateway's own goes to. */
 typedef struct {
@@ -73,11 +73,12 @@
 
 typedef struct GatePort {
 	/* Reads a caller's header into `meta`, and returns what the gateway does with the header. */
-	HeaderUse (*read_request_header)(RequestMeta *meta, const char *name, const char *value);
+	HeaderAction (*read_request_header)(RequestMeta *meta, const char *name, const char *value);
 	/* Writes the headers that the binding adds to a dispatched request. */
-	void (*write_sending_headers)(struct evbuffer *out, const RequestMeta *meta, const SendingMeta *sending);
+	void (*write_dispatch_headers)(struct evbuffer *out, const RequestMeta *meta,
+								   const DispatchMeta *sending);
 	/* Reads an endpoint's header into `meta`, and returns what the gateway does with the header. */
-	HeaderUse (*read_answer_header)(AnswerMeta *meta, const char *name, const char *value);
+	HeaderAction (*read_answer_header)(AnswerMeta *meta, const char *name, const char *value);
 	/* Writes the headers of an answer that the gateway gives itself. `retry_after_ms`: when the caller may
 	 * retry; 0: no retry is suggested. */
 	void (*write_own_headers)(struct evbuffer *out, const RequestMeta *meta, uint64_t retry_after_ms);
@@ -94,9 +95,9 @@
 	/* Ends all work for the gateway and frees the binding's state. */
 	void (*stop)(Gate *g);
 	/* Reads from the platform. read_configuration() checks that the configuration is the newest, and answers
-	 * by gate_note_look(), or by gate_note_no_configuration() if there is none yet. read_endpoints() reads
-	 * the registered endpoints and answers by gate_note_registry(). A read that is in progress is not begun
-	 * again. `limit_us`: the longest time that the answer may take; 0: the default. */
+	 * by gate_note_platform_read(), or by gate_note_no_configuration() if there is none yet. read_endpoints()
+	 * reads the registered endpoints and answers by gate_note_registry(). A read that is in progress is not
+	 * begun again. `limit_us`: the longest time that the answer may take; 0: the default. */
 	void (*read_configuration)(Gate *g);
 	void (*read_endpoints)(Gate *g, uint64_t limit_us);
 	/* Sends the read of endpoints that is in progress a second time; the first answer counts. Returns false
@@ -105,9 +106,9 @@
 	/* Turns the watch on the configuration on or off, which reports a change at once, without a read. */
 	void (*watch_configuration)(Gate *g, bool wanted);
 	/* Reads the record of duties and of quarantined requests. Hands each node with a duty to
-	 * gate_presume_node() and each quarantined request to gate_learn_held(), and reports the end by
-	 * gate_note_duties(). Reads again for as long as this node knows no other node. */
-	void (*find_duties)(Gate *g);
+	 * gate_add_unconfirmed_node() and each quarantined request to gate_merge_quarantined(), and reports the
+	 * end by gate_note_duties(). Reads again for as long as this node knows no other node. */
+	void (*read_duties)(Gate *g);
 	/* Records that this node holds a duty, for nodes that start later. Calls `done` once, with true if the
 	 * duty is recorded. */
 	void (*record_duty)(Gate *g, const char *duty, const BH__MemberInfo *self,
--- a/src/bayhoist-gate/schedulers.c
+++ b/src/bayhoist-gate/schedulers.c
@@ -253,8 +253,9 @@
 
 	for (GList *it = all; it; it = it->next) {
 		Call *call = it->data;
-		if (!strcmp(call_get_place(call)->service, s->service) &&
-			call_get_place(call)->asked_node != s->scheduler && g_hash_table_contains(c->gate->calls, call))
+		if (!strcmp(call_get_admission(call)->service, s->service) &&
+			call_get_admission(call)->asked_node != s->scheduler &&
+			g_hash_table_contains(c->gate->calls, call))
 			call_on_scheduler_lost(call);
 	}
 	g_list_free(all);
@@ -298,7 +299,7 @@
 	s->next_hold_us = now_us + HOLD_PERIOD_US;
 	g_hash_table_iter_init(&it, c->gate->calls);
 	while (g_hash_table_iter_next(&it, &key, NULL)) {
-		const CallPlace *p = call_get_place(key);
+		const CallAdmission *p = call_get_admission(key);
 		BH__Grant g = p->grant;
 		g.age_us = now_us - MIN(now_us, p->granted_us);
 		if (g.grant_id && g.pool_id == bh__planner_get_id(s->planner))
@@ -322,14 +323,14 @@
 	bh__planner_process_hold(s->planner, m->from_node, m->from_boot, m->as.hold.full, m->as.hold.grant,
 							 m->as.hold.count, now_us);
 	bh__takeover_note_report(&s->takeover, m->from_node, m->as.hold.is_complete, now_us);
-	schedulers_process_early(c, now_us);
+	schedulers_process_deferred(c, now_us);
 }
 
 /* Asks the scheduler of a call's service for engines. The answer goes to the call_on_ functions of call.c,
  * possibly before this function returns. */
 void cluster_ask(Cluster *c, Call *call)
 {
-	CallPlace *p = call_get_place(call);
+	CallAdmission *p = call_get_admission(call);
 	const BH__MemberInfo *self = bh__members_get_self(c->members);
 	Service *s = add_service_(c, p->service);
 
@@ -346,7 +347,7 @@
 /* Sends the call's pending ask again. */
 void cluster_resend_ask(Cluster *c, Call *call)
 {
-	CallPlace *p = call_get_place(call);
+	CallAdmission *p = call_get_admission(call);
 	BH__Message m = {.type = BH__MESSAGE_ASK};
 
 	if (p->asked_node == bh__members_get_self(c->members)->node_id) {
@@ -377,7 +378,7 @@
 /* Lets this node's own planner answer the call's ask. Withdraws the ask from the node to which it went. */
 void cluster_ask_locally(Cluster *c, Call *call)
 {
-	CallPlace *p = call_get_place(call);
+	CallAdmission *p = call_get_admission(call);
 	Service *s = add_service_(c, p->service);
 	BH__Ask ask = p->ask;
 
@@ -397,7 +398,7 @@
 /* Drops the call's pending ask, if it has one, and withdraws it from the node to which it went. */
 void cluster_drop_ask(Cluster *c, Call *call)
 {
-	CallPlace *p = call_get_place(call);
+	CallAdmission *p = call_get_admission(call);
 	BH__Message m = {.type = BH__MESSAGE_WITHDRAW};
 	uint64_t ask_id = p->ask.ask_id;
 
@@ -413,7 +414,7 @@
 /* Notifies the scheduler that the first event of the answer has been received. */
 void cluster_notify_progress(Cluster *c, Call *call)
 {
-	CallPlace *p = call_get_place(call);
+	CallAdmission *p = call_get_admission(call);
 
 	if (!p->grant.grant_id)
 		return;
@@ -427,7 +428,7 @@
 {
 	BH__Message m = {.type = BH__MESSAGE_ITERATION};
 
-	if (!call_get_place(call)->grant.has_first_event)
+	if (!call_get_admission(call)->grant.has_first_event)
 		return;
 	m.as.release.iteration_us = iteration_us;
 	notify_nodes_(c, call, &m);
@@ -438,7 +439,7 @@
 void cluster_release(Cluster *c, Call *call, BH__ReleaseKind kind, uint64_t failed_endpoint)
 {
 	const BH__RegisteredEndpoint *failed = bh__registry_find(c->gate->registry, failed_endpoint);
-	CallPlace *p = call_get_place(call);
+	CallAdmission *p = call_get_admission(call);
 	BH__Message m = {.type = BH__MESSAGE_RELEASE};
 	uint64_t now_us = clock_now_us();
 
@@ -456,7 +457,7 @@
  * grant. */
 static void notify_nodes_(Cluster *c, Call *call, BH__Message *m)
 {
-	CallPlace *p = call_get_place(call);
+	CallAdmission *p = call_get_admission(call);
 	Service *s = add_service_(c, p->service);
 	uint64_t self = bh__members_get_self(c->members)->node_id;
 
@@ -476,7 +477,7 @@
 	Service *s = schedulers_find(c, m->as.release.pool_id);
 
 	if (m->type == BH__MESSAGE_WITHDRAW)
-		schedulers_drop_early(c, m->as.release.grant_id);
+		schedulers_drop_deferred(c, m->as.release.grant_id);
 	if (!s)
 		return;
 	if (m->type == BH__MESSAGE_RELEASE) {
@@ -499,7 +500,7 @@
 {
 	Call *call = g_hash_table_lookup(c->by_ask, &g->ask_id);
 	Service *s = schedulers_find(c, g->pool_id);
-	CallPlace *p;
+	CallAdmission *p;
 
 	if (!call) {
 		BH__Message m = {.type = BH__MESSAGE_RELEASE};
@@ -509,7 +510,7 @@
 		cluster_send(c, from_node, &m);
 		return;
 	}
-	p = call_get_place(call);
+	p = call_get_admission(call);
 	g_hash_table_remove(c->by_ask, &p->ask.ask_id);
 	p->ask.ask_id = 0;
 	p->grant = *g;
@@ -527,8 +528,8 @@
 
 	if (!call)
 		return;
-	g_hash_table_remove(c->by_ask, &call_get_place(call)->ask.ask_id);
-	call_get_place(call)->ask.ask_id = 0;
+	g_hash_table_remove(c->by_ask, &call_get_admission(call)->ask.ask_id);
+	call_get_admission(call)->ask.ask_id = 0;
 	call_on_refuse(call, reason, retry_after_ms);
 }
 
--- a/src/bayhoist-gate/web.c
+++ b/src/bayhoist-gate/web.c
@@ -179,23 +179,23 @@
 			   {"no_route_total", k->no_route},
 			   {"stale_refusals_total", k->stale_refusals},
 			   {"directory_answers_total", k->directory_answers},
-			   {"bad_answers_total", k->bad_frames},
+			   {"bad_answers_total", k->bad_answers},
 			   {"limit_changes_total", k->limit_changes},
-			   {"request_bytes", g->room.request_bytes},
+			   {"request_bytes", g->memory_budget.request_bytes},
 			   {"answer_bytes", inbounds_get_answer_bytes(g)},
-			   {"no_room_total", g->room.refusals},
+			   {"no_room_total", g->memory_budget.refusals},
 			   {"calls", g_hash_table_size(g->calls)},
 			   {"connections", g_hash_table_size(g->inbounds)},
 			   {"endpoints", bh__registry_get_count(g->registry)},
 			   {"configuration_version", g->routing ? bh__routing_get_version(g->routing) : 0},
-			   {"configuration_age_ms", g->routing ? (now_us - g->routing_looked_us) / BH__MS_US : 0},
+			   {"configuration_age_ms", g->routing ? (now_us - g->routing_read_us) / BH__MS_US : 0},
 			   {"log_lines_left_out_total", log_get_left_out()}};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(all); i++)
 		evbuffer_add_printf(out, "bayhoist_%s %" G_GUINT64_FORMAT "\n", all[i].name, all[i].value);
 	for (int i = 0; i < BH__DISPATCH_END_COUNT; i++)
 		evbuffer_add_printf(out, "bayhoist_sending_ends_total{end=\"%s\"} %" G_GUINT64_FORMAT "\n",
-							BH__DispatchEndString[i], k->sending_ends[i]);
+							BH__DispatchEndString[i], k->dispatch_ends[i]);
 	for (int i = 0; i < CALL_OUTCOME_COUNT; i++)
 		evbuffer_add_printf(out, "bayhoist_outcomes_total{outcome=\"%s\"} %" G_GUINT64_FORMAT "\n",
 							OutcomeString_[i], k->outcomes[i]);
@@ -211,7 +211,7 @@
 		write_histogram_(out, "first_event_ms", SizeLabel[i], &k->first_event[i]);
 	write_histogram_(out, "grant_wait_ms", "all", &k->grant_wait);
 	write_histogram_(out, "whole_ms", "all", &k->whole);
-	platform_sync_write_status(g->looks, out);
+	platform_sync_write_status(g->platform_sync, out);
 	halls_write_status(g, out);
 	signals_write_status(g, out);
 	cluster_write_status(g->cluster, out);
--- a/test/platform/test_decode.c
+++ b/test/platform/test_decode.c
@@ -404,7 +404,7 @@
 {
 	struct evbuffer *out = evbuffer_new();
 	RequestMeta m = {.request_id = "abc"};
-	SendingMeta s = {.endpoint = "i-1", .account = "t", .time_left_us = 1500 * BH__MS_US, .urgency = -1};
+	DispatchMeta s = {.endpoint = "i-1", .account = "t", .time_left_us = 1500 * BH__MS_US, .urgency = -1};
 	char *text;
 
 	(void)state;
