--- a/src/bayhoist-gate/dispatch.c
+++ b/src/bayhoist-gate/dispatch.c
@@ -78,7 +78,7 @@
 			  c->request->meta.request_id, e->entry.id, c->service->name, c->request->meta.prompt_tokens,
 			  c->retry.dispatches, c->events.last_id, (c->retry.deadline_us - c->sent_us) / BH__MS_US,
 			  g->grant_id ? g->expected_us / BH__MS_US : 0,
-			  e->signals.named.in_force ? e->signals.named.per_s : -1.0, helpers->str);
+			  e->signals.advertised.in_force ? e->signals.advertised.per_s : -1.0, helpers->str);
 	g_string_free(helpers, TRUE);
 }
 
