--- a/src/bayhoist-gate/inbound.c
+++ b/src/bayhoist-gate/inbound.c
@@ -1,8 +1,8 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Connections that callers open: requests are read whole, one at a time, and handed to call.c; answers go
- * back as they come. http-parser reads the requests and refuses those whose length can be read in two ways.
- * evhttp is not used here: it answers faulty requests by itself, tells nothing of a caller that goes away,
- * and sets headers of its own. */
+/* HTTP/1 connections from callers. Each connection reads one complete request at a time and passes it to
+ * call.c; answers are forwarded as they arrive. http-parser parses the requests and rejects those whose
+ * length is ambiguous. This file does not use evhttp, because evhttp answers malformed requests by itself,
+ * does not report that a caller has disconnected, and sets headers of its own. */
 #include "gate.h"
 
 #include <arpa/inet.h>
@@ -17,17 +17,18 @@
 #include "clock.h"
 #include "log.h"
 
-/* Bytes that wait for a slow caller before its endpoint is no longer read. */
-#define OUTPUT_HIGH (128 * 1024)
-#define INPUT_HIGH (64 * 1024) /* of the next requests, read ahead while one is under way */
-#define LINGER_MS 1000         /* for a caller to close after the last answer */
-#define SILENT_MS 5000         /* that sent bytes may go without an acknowledgement */
-#define BACKLOG 512
-#define RETRY_FULL_MS 1000 /* for a caller whose request there is no room for */
+/* Bytes buffered for a slow caller before the gateway stops reading from the endpoint. */
+#define OUTPUT_HIGH_WATERMARK (128 * 1024)
+/* Bytes of later requests read ahead while a request is in progress. */
+#define INPUT_HIGH_WATERMARK (64 * 1024)
+#define LINGER_MS 1000          /* time a caller has to close the connection after the last answer */
+#define UNACKED_TIMEOUT_MS 5000 /* longest time that sent bytes may stay unacknowledged */
+#define LISTEN_BACKLOG 512
+#define NO_MEMORY_RETRY_MS 1000 /* retry delay sent to a caller whose request exceeds the memory budget */
 
 typedef enum {
-	READING, /* a request, or waiting for one */
-	BUSY,    /* a request is under way */
+	READING, /* reading a request or waiting for one */
+	BUSY,    /* a request is in progress */
 	CLOSING  /* the last answer is being sent */
 } InboundState;
 
@@ -38,22 +39,22 @@
 	http_parser parser;
 	InboundState state;
 	InboundRequest request;
-	GString *name; /* of the header being read */
-	GString *value;
-	bool value_begun;
-	GString *url;
-	GPtrArray *fields; /* names and values in turn */
-	size_t head_bytes;
-	bool head_done;
-	bool has_bytes; /* of the request being read */
-	bool whole;     /* the request has been read */
-	size_t kept;    /* bytes of the request that count against the node's room */
-	int fault;      /* status of a request that can't be served; 0: none */
-	const char *fault_message;
-	Call *call;
-	bool keep_alive;
-	bool chunked;
-	bool dead;
+	GString *name;             /* name of the header being read */
+	GString *value;            /* value of the header being read */
+	bool value_started;        /* the parser has reported a part of the current value */
+	GString *url;              /* request target as received */
+	GPtrArray *fields;         /* names and values of all headers, alternating */
+	size_t head_bytes;         /* bytes of the request line and the headers received so far */
+	bool head_complete;        /* all headers of the request have been read */
+	bool has_bytes;            /* at least one byte of the request being read has arrived */
+	bool is_complete;          /* the request has been read */
+	size_t reserved_bytes;     /* bytes that the request holds of the node's memory budget */
+	int error_status;          /* HTTP status for a request that can't be served; 0: no error */
+	const char *error_message; /* text of the error answer; valid if error_status is not 0 */
+	Call *call;                /* call that serves the request; NULL: none */
+	bool keep_alive;           /* the connection stays open after the answer */
+	bool chunked;              /* the answer in progress uses chunked transfer coding */
+	bool is_closed;            /* closed; the event loop frees the memory later */
 };
 
 static void on_accept_(struct evconnlistener *l, evutil_socket_t fd, struct sockaddr *sa, int len, void *arg);
@@ -61,46 +62,46 @@
 static void on_written_(struct bufferevent *bev, void *arg);
 static void on_event_(struct bufferevent *bev, short what, void *arg);
 static void on_timer_(evutil_socket_t fd, short what, void *arg);
-static int on_begin_(http_parser *p);
+static int on_message_begin_(http_parser *p);
 static int on_url_(http_parser *p, const char *at, size_t len);
-static int on_name_(http_parser *p, const char *at, size_t len);
-static int on_value_(http_parser *p, const char *at, size_t len);
-static int on_head_done_(http_parser *p);
+static int on_header_name_(http_parser *p, const char *at, size_t len);
+static int on_header_value_(http_parser *p, const char *at, size_t len);
+static int on_headers_complete_(http_parser *p);
 static int on_body_(http_parser *p, const char *at, size_t len);
-static int on_whole_(http_parser *p);
-static void read_more_(Inbound *in);
-static bool execute_(Inbound *in);
-static void store_field_(Inbound *in);
-static const char *find_field_(const Inbound *in, const char *name, unsigned *count);
-static bool is_named_(const char *list, const char *name);
-static void set_fault_(Inbound *in, int status, const char *message);
-static void answer_fault_(Inbound *in);
-static bool keep_(Inbound *in, size_t len);
-static void sort_fields_(Inbound *in);
-static void begin_call_(Inbound *in);
+static int on_message_complete_(http_parser *p);
+static void process_input_(Inbound *in);
+static bool parse_input_(Inbound *in);
+static void add_header_(Inbound *in);
+static const char *find_header_(const Inbound *in, const char *name, unsigned *count);
+static bool is_listed_(const char *list, const char *name);
+static void set_error_(Inbound *in, int status, const char *message);
+static void answer_error_(Inbound *in);
+static bool reserve_memory_(Inbound *in, size_t len);
+static void filter_headers_(Inbound *in);
+static void start_call_(Inbound *in);
 static void clear_request_(Inbound *in);
 static void set_timer_(Inbound *in, uint64_t ms);
-static void rest_(Inbound *in);
+static void wait_for_request_(Inbound *in);
 static void write_head_(Inbound *in, int status, const char *reason, const GString *headers);
 static void finish_answer_(Inbound *in);
 static void close_when_sent_(Inbound *in);
-static void retire_(Inbound *in);
-static void free_later_(evutil_socket_t fd, short what, void *arg);
+static void close_connection_(Inbound *in);
+static void on_free_(evutil_socket_t fd, short what, void *arg);
 
-static const http_parser_settings Callbacks_ = {.on_message_begin = on_begin_,
+static const http_parser_settings Callbacks_ = {.on_message_begin = on_message_begin_,
 												.on_url = on_url_,
-												.on_header_field = on_name_,
-												.on_header_value = on_value_,
-												.on_headers_complete = on_head_done_,
+												.on_header_field = on_header_name_,
+												.on_header_value = on_header_value_,
+												.on_headers_complete = on_headers_complete_,
 												.on_body = on_body_,
-												.on_message_complete = on_whole_};
+												.on_message_complete = on_message_complete_};
 
-/* Headers that concern one connection only (RFC 9110, section 7.6.1). */
-static const char *const ConnectionFields_[] = {
+/* Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1). */
+static const char *const ConnectionHeaders_[] = {
 	"connection",        "keep-alive", "proxy-connection",    "proxy-authenticate", "te",    "trailer",
 	"transfer-encoding", "upgrade",    "proxy-authorization", "content-length",     "expect"};
 
-/* Listens for callers. Returns false if the address can't be used. */
+/* Starts to listen on the caller address. Returns false if the address can't be parsed or bound. */
 bool inbounds_listen(Gate *g)
 {
 	struct sockaddr_storage sa;
@@ -109,22 +110,23 @@
 	if (evutil_parse_sockaddr_port(g->settings.caller_address, (struct sockaddr *)&sa, &len) != 0)
 		return false;
 	g->listener = evconnlistener_new_bind(g->base, on_accept_, g, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
-										  BACKLOG, (struct sockaddr *)&sa, len);
+										  LISTEN_BACKLOG, (struct sockaddr *)&sa, len);
 	return g->listener != NULL;
 }
 
+/* Sets up a new connection. The listener is disabled while the number of connections is at its maximum. */
 static void on_accept_(struct evconnlistener *l, evutil_socket_t fd, struct sockaddr *sa, int len, void *arg)
 {
 	Gate *g = arg;
 	Inbound *in;
 	int one = 1;
-	unsigned silent_ms = SILENT_MS;
+	unsigned unacked_timeout_ms = UNACKED_TIMEOUT_MS;
 
 	(void)l;
 	(void)sa;
 	(void)len;
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent_ms, sizeof silent_ms);
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked_timeout_ms, sizeof unacked_timeout_ms);
 	in = g_new0(Inbound, 1);
 	in->gate = g;
 	in->name = g_string_new(NULL);
@@ -136,16 +138,16 @@
 	in->parser.data = in;
 	in->bev = bufferevent_socket_new(g->base, fd, BEV_OPT_CLOSE_ON_FREE);
 	bufferevent_setcb(in->bev, on_read_, on_written_, on_event_, in);
-	bufferevent_setwatermark(in->bev, EV_READ, 0, INPUT_HIGH);
+	bufferevent_setwatermark(in->bev, EV_READ, 0, INPUT_HIGH_WATERMARK);
 	bufferevent_enable(in->bev, EV_READ | EV_WRITE);
 	g_hash_table_add(g->inbounds, in);
 	if (g_hash_table_size(g->inbounds) >= g->settings.max_connections)
 		evconnlistener_disable(g->listener);
-	rest_(in);
+	wait_for_request_(in);
 }
 
-/* Waits for the next request, for as long as a connection may idle. */
-static void rest_(Inbound *in)
+/* Waits for the next request until the idle timeout: 15 s as long as no configuration is loaded. */
+static void wait_for_request_(Inbound *in)
 {
 	uint64_t idle_ms = in->gate->routing ? bh__routing_get_limits(in->gate->routing)->idle_timeout_ms : 15000;
 
@@ -153,6 +155,7 @@
 	set_timer_(in, idle_ms);
 }
 
+/* Starts or restarts the timer of the connection, to fire after `ms`. */
 static void set_timer_(Inbound *in, uint64_t ms)
 {
 	struct timeval tv = {(time_t)(ms / 1000), (suseconds_t)(ms % 1000 * 1000)};
@@ -163,30 +166,33 @@
 static void on_read_(struct bufferevent *bev, void *arg)
 {
 	(void)bev;
-	read_more_(arg);
+	process_input_(arg);
 }
 
-/* Reads requests until one is whole, then waits for its answer. */
-static void read_more_(Inbound *in)
+/* Parses buffered input until a request is complete, then starts its call. Input that arrives on a closing
+ * connection is discarded. */
+static void process_input_(Inbound *in)
 {
-	while (!in->dead && in->state == READING && evbuffer_get_length(bufferevent_get_input(in->bev)) > 0) {
-		if (!execute_(in))
+	while (!in->is_closed && in->state == READING &&
+		   evbuffer_get_length(bufferevent_get_input(in->bev)) > 0) {
+		if (!parse_input_(in))
 			return;
-		if (in->whole)
-			begin_call_(in);
+		if (in->is_complete)
+			start_call_(in);
 	}
-	if (!in->dead && in->state == CLOSING)
+	if (!in->is_closed && in->state == CLOSING)
 		evbuffer_drain(bufferevent_get_input(in->bev), evbuffer_get_length(bufferevent_get_input(in->bev)));
 }
 
-/* Feeds the parser with what has come. Returns false if the request was answered as faulty. */
-static bool execute_(Inbound *in)
+/* Passes one contiguous piece of the buffered input to the parser. Returns false if the request was answered
+ * with an error. */
+static bool parse_input_(Inbound *in)
 {
 	struct evbuffer *input = bufferevent_get_input(in->bev);
 	const BH__RequestLimits *limits = in->gate->routing ? bh__routing_get_limits(in->gate->routing) : NULL;
 	size_t len = evbuffer_get_contiguous_space(input);
 	const char *data = (const char *)evbuffer_pullup(input, (ev_ssize_t)len);
-	bool head_done = in->head_done;
+	bool head_complete = in->head_complete;
 	size_t used;
 
 	if (!in->has_bytes) {
@@ -196,42 +202,43 @@
 	}
 	used = http_parser_execute(&in->parser, &Callbacks_, data, len);
 	evbuffer_drain(input, used);
-	if (!head_done)
+	if (!head_complete)
 		in->head_bytes += used;
-	if (!in->head_done && limits && in->head_bytes > limits->max_header_bytes)
-		set_fault_(in, 431, "the request's headers are larger than the limit");
-	if (!in->whole && HTTP_PARSER_ERRNO(&in->parser) != HPE_OK &&
+	if (!in->head_complete && limits && in->head_bytes > limits->max_header_bytes)
+		set_error_(in, 431, "the request's headers are larger than the limit");
+	if (!in->is_complete && HTTP_PARSER_ERRNO(&in->parser) != HPE_OK &&
 		HTTP_PARSER_ERRNO(&in->parser) != HPE_PAUSED)
-		set_fault_(in, 400, http_errno_description(HTTP_PARSER_ERRNO(&in->parser)));
-	if (in->fault && !in->whole) { /* what follows can't be told apart from the rest of it */
+		set_error_(in, 400, http_errno_description(HTTP_PARSER_ERRNO(&in->parser)));
+	if (in->error_status && !in->is_complete) { /* the start of the next request can't be found */
 		in->state = BUSY;
-		answer_fault_(in);
+		answer_error_(in);
 		return false;
 	}
 	return true;
 }
 
-static void set_fault_(Inbound *in, int status, const char *message)
+/* Records the error that the request is answered with; the first error of a request stays. */
+static void set_error_(Inbound *in, int status, const char *message)
 {
-	if (in->fault)
+	if (in->error_status)
 		return;
-	in->fault = status;
-	in->fault_message = message;
+	in->error_status = status;
+	in->error_message = message;
 }
 
-static int on_begin_(http_parser *p)
+static int on_message_begin_(http_parser *p)
 {
 	clear_request_(p->data);
 	return 0;
 }
 
-/* Forgets the last request, but for the time at which the next began. */
+/* Resets the request state, except for the arrival time, which is that of the next request already. */
 static void clear_request_(Inbound *in)
 {
 	uint64_t arrived_us = in->request.arrived_us;
 
-	bh__memory_budget_release_request(&in->gate->room, in->kept);
-	in->kept = 0;
+	bh__memory_budget_release_request(&in->gate->room, in->reserved_bytes);
+	in->reserved_bytes = 0;
 	g_free(in->request.target);
 	g_free(in->request.host);
 	if (in->request.headers)
@@ -244,11 +251,11 @@
 	g_string_truncate(in->value, 0);
 	g_string_truncate(in->url, 0);
 	g_ptr_array_set_size(in->fields, 0);
-	in->value_begun = false;
+	in->value_started = false;
 	in->head_bytes = 0;
-	in->head_done = false;
-	in->whole = false;
-	in->fault = 0;
+	in->head_complete = false;
+	in->is_complete = false;
+	in->error_status = 0;
 }
 
 static int on_url_(http_parser *p, const char *at, size_t len)
@@ -257,68 +264,72 @@
 	return 0;
 }
 
-static int on_name_(http_parser *p, const char *at, size_t len)
+static int on_header_name_(http_parser *p, const char *at, size_t len)
 {
 	Inbound *in = p->data;
 
-	if (in->value_begun)
-		store_field_(in);
+	if (in->value_started)
+		add_header_(in);
 	g_string_append_len(in->name, at, (gssize)len);
 	return 0;
 }
 
-static int on_value_(http_parser *p, const char *at, size_t len)
+static int on_header_value_(http_parser *p, const char *at, size_t len)
 {
 	Inbound *in = p->data;
 
-	in->value_begun = true;
+	in->value_started = true;
 	g_string_append_len(in->value, at, (gssize)len);
 	return 0;
 }
 
-static void store_field_(Inbound *in)
+/* Appends the header that was just parsed to the list of headers. */
+static void add_header_(Inbound *in)
 {
 	g_ptr_array_add(in->fields, g_strndup(in->name->str, in->name->len));
 	g_ptr_array_add(in->fields, g_strndup(in->value->str, in->value->len));
 	g_string_truncate(in->name, 0);
 	g_string_truncate(in->value, 0);
-	in->value_begun = false;
+	in->value_started = false;
 }
 
-static int on_head_done_(http_parser *p)
+/* Validates the headers, reserves memory for a body of known length and answers an Expect header with 100
+ * Continue. Returns -1 to stop the parser if the body is too large or does not fit in the memory budget. */
+static int on_headers_complete_(http_parser *p)
 {
 	Inbound *in = p->data;
 	unsigned hosts;
 	const char *host;
 	const BH__RequestLimits *limits = in->gate->routing ? bh__routing_get_limits(in->gate->routing) : NULL;
 
-	if (in->value_begun)
-		store_field_(in);
-	in->head_done = true;
-	host = find_field_(in, "host", &hosts);
+	if (in->value_started)
+		add_header_(in);
+	in->head_complete = true;
+	host = find_header_(in, "host", &hosts);
 	if (hosts != 1)
-		set_fault_(in, 400, "a request needs one Host header");
+		set_error_(in, 400, "a request must have exactly one Host header");
 	if (in->url->str[0] != '/')
-		set_fault_(in, 400, "the request's target must be a path");
+		set_error_(in, 400, "the request's target must be a path");
 	if (limits && p->content_length != UINT64_MAX && p->content_length > limits->max_body_bytes)
-		set_fault_(in, 413, "the body is larger than the limit");
+		set_error_(in, 413, "the body is larger than the limit");
 	in->request.method = http_method_str((enum http_method)p->method);
 	in->request.target = g_strdup(in->url->str);
 	in->request.host = g_strdup(host ? host : "");
 	in->request.headers = g_string_new(NULL);
 	in->request.body = g_byte_array_new();
-	sort_fields_(in);
-	if (in->fault == 413)
+	filter_headers_(in);
+	if (in->error_status == 413)
 		return -1;
-	if (!(p->flags & F_CHUNKED) && p->content_length != UINT64_MAX && !keep_(in, p->content_length))
+	if (!(p->flags & F_CHUNKED) && p->content_length != UINT64_MAX && !reserve_memory_(in, p->content_length))
 		return -1;
-	if (find_field_(in, "expect", NULL))
+	if (find_header_(in, "expect", NULL))
 		bufferevent_write(in->bev, "HTTP/1.1 100 Continue\r\n\r\n", 25);
 	return 0;
 }
 
-/* Returns the value of a header, and how often it is there; `name` in lower case. */
-static const char *find_field_(const Inbound *in, const char *name, unsigned *count)
+/* Returns the value of the last header called `name`, ignoring case, or NULL. Stores the number of such
+ * headers in `count`, unless that is NULL. */
+static const char *find_header_(const Inbound *in, const char *name, unsigned *count)
 {
 	const char *value = NULL;
 	unsigned n = 0;
@@ -334,8 +345,8 @@
 	return value;
 }
 
-/* Returns true if a Connection header names a header. */
-static bool is_named_(const char *list, const char *name)
+/* Returns true if `list`, the value of a Connection header or NULL, contains `name`. */
+static bool is_listed_(const char *list, const char *name)
 {
 	char **names = list ? g_strsplit(list, ",", -1) : NULL;
 	bool found = false;
@@ -346,75 +357,81 @@
 	return found;
 }
 
-/* Tells the headers that go on from those that concern this connection and those that the port takes. */
-static void sort_fields_(Inbound *in)
+/* Collects the headers to forward: drops hop-by-hop headers and those that the platform port consumes. */
+static void filter_headers_(Inbound *in)
 {
-	const char *connection = find_field_(in, "connection", NULL);
+	const char *connection = find_header_(in, "connection", NULL);
 
 	for (guint i = 0; i + 1 < in->fields->len; i += 2) {
 		const char *name = g_ptr_array_index(in->fields, i);
 		const char *value = g_ptr_array_index(in->fields, i + 1);
-		bool drop = connection && is_named_(connection, name) && g_ascii_strcasecmp(name, "host") != 0;
-		for (size_t k = 0; k < G_N_ELEMENTS(ConnectionFields_) && !drop; k++)
-			drop = !g_ascii_strcasecmp(name, ConnectionFields_[k]);
+		bool drop = connection && is_listed_(connection, name) && g_ascii_strcasecmp(name, "host") != 0;
+		for (size_t k = 0; k < G_N_ELEMENTS(ConnectionHeaders_) && !drop; k++)
+			drop = !g_ascii_strcasecmp(name, ConnectionHeaders_[k]);
 		if (drop || in->gate->port->read_request_header(&in->request.meta, name, value) == HEADER_DROP)
 			continue;
 		g_string_append_printf(in->request.headers, "%s: %s\r\n", name, value);
 	}
 }
 
+/* Appends a part of the body. Returns -1 to stop the parser if the body exceeds its limit or the memory
+ * budget. */
 static int on_body_(http_parser *p, const char *at, size_t len)
 {
 	Inbound *in = p->data;
 	const BH__RequestLimits *limits = in->gate->routing ? bh__routing_get_limits(in->gate->routing) : NULL;
 
 	if (limits && in->request.body->len + len > limits->max_body_bytes) {
-		set_fault_(in, 413, "the body is larger than the limit");
+		set_error_(in, 413, "the body is larger than the limit");
 		return -1;
 	}
-	if (p->flags & F_CHUNKED && !keep_(in, len)) /* else there has been room for all of it from its head on */
+	if (p->flags & F_CHUNKED && !reserve_memory_(in, len)) /* otherwise reserved with the headers */
 		return -1;
 	g_byte_array_append(in->request.body, (const guint8 *)at, (guint)len);
 	return 0;
 }
 
-static int on_whole_(http_parser *p)
+/* Marks the request as complete and pauses the parser until its answer has been written. */
+static int on_message_complete_(http_parser *p)
 {
 	Inbound *in = p->data;
 
-	in->whole = true;
+	in->is_complete = true;
 	in->keep_alive = http_should_keep_alive(p) && !p->upgrade;
 	http_parser_pause(p, 1);
 	return 0;
 }
 
-static void answer_fault_(Inbound *in)
+/* Answers the request with its recorded error; the connection closes after the answer. */
+static void answer_error_(Inbound *in)
 {
-	bool is_full = in->fault == 503;
+	bool is_full = in->error_status == 503;
 
 	in->keep_alive = false;
-	inbound_answer_own(in, in->fault, is_full ? RETRY_FULL_MS : 0, is_full ? "no-memory" : "bad-request",
-					   in->fault_message);
+	inbound_answer_own(in, in->error_status, is_full ? NO_MEMORY_RETRY_MS : 0,
+					   is_full ? "no-memory" : "bad-request", in->error_message);
 }
 
-/* Keeps so much more of a request. Returns false if the node has no room for it: it is refused. */
-static bool keep_(Inbound *in, size_t len)
+/* Reserves `len` bytes of the memory budget for the request. If the budget is used up, records a 503 error
+ * and returns false. */
+static bool reserve_memory_(Inbound *in, size_t len)
 {
 	if (!bh__memory_budget_reserve_request(&in->gate->room, len)) {
-		set_fault_(in, 503, "this node keeps as many requests as its memory holds");
+		set_error_(in, 503, "the memory budget for requests is used up on this node");
 		return false;
 	}
-	in->kept += len;
+	in->reserved_bytes += len;
 	return true;
 }
 
-static void begin_call_(Inbound *in)
+/* Starts the call of a complete request, or answers its error. */
+static void start_call_(Inbound *in)
 {
 	in->state = BUSY;
 	in->has_bytes = false;
 	event_del(in->timer);
-	if (in->fault) {
-		answer_fault_(in);
+	if (in->error_status) {
+		answer_error_(in);
 		return;
 	}
 	in->call = call_start(in->gate, in);
@@ -425,7 +442,8 @@
 	return &in->request;
 }
 
-/* Writes status and headers of an answer, up to those of its length. */
+/* Writes the status line and the headers of an answer, except for those that give its length. Closes the
+ * connection after the answer if the node is shutting down. */
 static void write_head_(Inbound *in, int status, const char *reason, const GString *headers)
 {
 	struct evbuffer *out = bufferevent_get_output(in->bev);
@@ -439,7 +457,8 @@
 		evbuffer_add_printf(out, "Connection: close\r\n");
 }
 
-/* Answers in our own name. `retry_after_ms` 0: the caller need not come back. */
+/* Sends an error answer that the gateway itself generates. `retry_after_ms` is the retry delay for the
+ * caller; 0: no delay is sent. */
 void inbound_answer_own(Inbound *in, int status, uint64_t retry_after_ms, const char *code,
 						const char *message)
 {
@@ -455,7 +474,7 @@
 	finish_answer_(in);
 }
 
-/* Answers with an endpoint's whole answer; takes the bytes of `body`. */
+/* Sends the complete answer of an endpoint. The bytes of `body` are moved out of it. */
 void inbound_answer_whole(Inbound *in, int status, const char *reason, const GString *headers,
 						  struct evbuffer *body)
 {
@@ -469,7 +488,8 @@
 	finish_answer_(in);
 }
 
-/* Begins an answer whose length is not known. To an HTTP/1.0 caller its end is that of the connection. */
+/* Begins an answer of unknown length. It is chunked for HTTP/1.1; for an HTTP/1.0 caller, closing the
+ * connection marks its end. */
 void inbound_answer_begin(Inbound *in, int status, const char *reason, const GString *headers)
 {
 	struct evbuffer *out = bufferevent_get_output(in->bev);
@@ -483,7 +503,7 @@
 	evbuffer_add_printf(out, "\r\n");
 }
 
-/* Returns how many bytes of answers wait for their callers. */
+/* Returns the number of answer bytes that are buffered for callers, over all connections. */
 uint64_t inbounds_get_answer_bytes(const Gate *g)
 {
 	uint64_t bytes = 0;
@@ -496,13 +516,14 @@
 	return bytes;
 }
 
-/* Returns how many bytes of one answer the node keeps, `max` at most. */
+/* Returns the maximum number of bytes to buffer of one answer under the memory budget; at most `max`. */
 size_t inbound_get_answer_max(const Gate *g, size_t max)
 {
 	return bh__memory_budget_get_answer_max(&g->room, g_hash_table_size(g->inbounds), max);
 }
 
-/* Sends more of an answer. Returns false if the caller reads so slowly that the endpoint should wait. */
+/* Sends the next part of an answer. Returns false if the output buffer is above its high watermark, so that
+ * the gateway should pause reading from the endpoint. */
 bool inbound_answer_more(Inbound *in, const char *data, size_t len)
 {
 	struct evbuffer *out = bufferevent_get_output(in->bev);
@@ -514,10 +535,10 @@
 	evbuffer_add(out, data, len);
 	if (in->chunked)
 		evbuffer_add(out, "\r\n", 2);
-	return evbuffer_get_length(out) < inbound_get_answer_max(in->gate, OUTPUT_HIGH);
+	return evbuffer_get_length(out) < inbound_get_answer_max(in->gate, OUTPUT_HIGH_WATERMARK);
 }
 
-/* Ends an answer that is whole. */
+/* Ends an answer that is complete. */
 void inbound_answer_end(Inbound *in)
 {
 	if (in->chunked)
@@ -525,7 +546,8 @@
 	finish_answer_(in);
 }
 
-/* Ends an answer that can't be completed, so that it doesn't look complete. */
+/* Aborts an answer that can't be completed, in a way that the caller can detect: a chunked answer is closed
+ * without its last chunk, any other by a TCP reset. */
 void inbound_break_off(Inbound *in)
 {
 	struct linger reset = {.l_onoff = 1, .l_linger = 0};
@@ -537,10 +559,11 @@
 	if (in->chunked)
 		close_when_sent_(in);
 	else
-		retire_(in);
+		close_connection_(in);
 }
 
-/* The answer is written: the connection takes the next request, or is closed. */
+/* Ends a request after its answer has been written: prepares the connection for the next request, or closes
+ * it. */
 static void finish_answer_(Inbound *in)
 {
 	in->call = NULL;
@@ -550,19 +573,20 @@
 		return;
 	}
 	http_parser_pause(&in->parser, 0);
-	in->whole =
-		false; /* but for its body the request is kept until the next begins: its call may look at it */
+	/* the call may still read the request; only the body is freed before the next request begins */
+	in->is_complete = false;
 	g_byte_array_unref(in->request.body);
 	in->request.body = g_byte_array_new();
-	bh__memory_budget_release_request(&in->gate->room, in->kept);
-	in->kept = 0;
-	in->head_done = false;
-	rest_(in);
-	/* what came meanwhile is read from the loop, not from here: we may be in a callback of it */
+	bh__memory_budget_release_request(&in->gate->room, in->reserved_bytes);
+	in->reserved_bytes = 0;
+	in->head_complete = false;
+	wait_for_request_(in);
+	/* input that has arrived meanwhile is read from the event loop: this may be a parser callback */
 	if (evbuffer_get_length(bufferevent_get_input(in->bev)) > 0)
 		bufferevent_trigger(in->bev, EV_READ, BEV_OPT_DEFER_CALLBACKS);
 }
 
+/* Shuts the connection down once the output buffer is empty. The caller has LINGER_MS to close its side. */
 static void close_when_sent_(Inbound *in)
 {
 	in->state = CLOSING;
@@ -571,6 +595,7 @@
 		on_written_(in->bev, in);
 }
 
+/* Handles an empty output buffer: shuts down a closing connection, or lets the call send more. */
 static void on_written_(struct bufferevent *bev, void *arg)
 {
 	Inbound *in = arg;
@@ -582,6 +607,7 @@
 		call_on_drained(in->call);
 }
 
+/* Handles a disconnect or an error of the connection; its call is notified. */
 static void on_event_(struct bufferevent *bev, short what, void *arg)
 {
 	Inbound *in = arg;
@@ -593,44 +619,47 @@
 	in->call = NULL;
 	if (call)
 		call_on_caller_gone(call);
-	retire_(in);
+	close_connection_(in);
 }
 
-/* A connection has idled for too long, a request's headers take too long, or a caller didn't close. */
+/* Handles a timeout: answers 408 if the headers of a request are late, and closes a connection that was idle
+ * for too long or that the caller has not closed after the last answer. */
 static void on_timer_(evutil_socket_t fd, short what, void *arg)
 {
 	Inbound *in = arg;
 
 	(void)fd;
 	(void)what;
-	if (in->state == READING && in->has_bytes && !in->head_done) {
+	if (in->state == READING && in->has_bytes && !in->head_complete) {
 		in->keep_alive = false;
 		in->state = BUSY;
-		inbound_answer_own(in, 408, 0, "request-timeout", "the request's headers took too long");
+		inbound_answer_own(in, 408, 0, "request-timeout", "the request's headers were not received in time");
 	}
 	else if (in->state != BUSY) {
-		retire_(in);
+		close_connection_(in);
 	}
 }
 
-/* Closes a connection; its memory is freed from the loop. */
-static void retire_(Inbound *in)
+/* Closes a connection; the event loop frees its memory later. Accepts connections again if their number is
+ * below the maximum. */
+static void close_connection_(Inbound *in)
 {
 	struct timeval at_once = {0, 0};
 
-	if (in->dead)
+	if (in->is_closed)
 		return;
-	in->dead = true;
+	in->is_closed = true;
 	bufferevent_setcb(in->bev, NULL, NULL, NULL, NULL);
 	bufferevent_disable(in->bev, EV_READ | EV_WRITE);
 	event_del(in->timer);
 	g_hash_table_remove(in->gate->inbounds, in);
 	if (in->gate->listener && g_hash_table_size(in->gate->inbounds) < in->gate->settings.max_connections)
 		evconnlistener_enable(in->gate->listener);
-	event_base_once(in->gate->base, -1, EV_TIMEOUT, free_later_, in, &at_once);
+	event_base_once(in->gate->base, -1, EV_TIMEOUT, on_free_, in, &at_once);
 }
 
-static void free_later_(evutil_socket_t fd, short what, void *arg)
+/* Frees a closed connection and closes its socket. */
+static void on_free_(evutil_socket_t fd, short what, void *arg)
 {
 	Inbound *in = arg;
 
@@ -646,15 +675,15 @@
 	g_free(in);
 }
 
-/* Closes all connections; for the end of the process. */
+/* Closes and frees all connections when the process exits. */
 void inbounds_free(Gate *g)
 {
 	GList *all = g_hash_table_get_keys(g->inbounds);
 
 	for (GList *it = all; it; it = it->next) {
 		Inbound *in = it->data;
-		in->dead = true;
-		free_later_(-1, 0, in);
+		in->is_closed = true;
+		on_free_(-1, 0, in);
 	}
 	g_list_free(all);
 	g_hash_table_remove_all(g->inbounds);
