--- a/src/bayhoist-gate/crashes.c
+++ b/src/bayhoist-gate/crashes.c
@@ -1,7 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Requests that crash endpoints, in the gateway: the library's crash_watch.c decides. Here endpoints are
- * looked at, calls of requests that come to be held are ended, and those that are held are recorded on the
- * platform, for nodes that start. */
+/* The gateway's side of crash detection; the library's crash_watch.c makes the decisions. This file probes
+ * endpoints for liveness, ends the calls of requests that become quarantined, and writes the quarantined
+ * requests to the platform's store, from which starting nodes load them. */
 #include "crashes.h"
 
 #include "bayhoist/crash_watch.h"
@@ -10,93 +10,96 @@
 #include "dial.h"
 #include "log.h"
 
-/* Entries go to the store together, so that a storm of them costs it one call a second. */
-#define RECORD_PERIOD_US BH__SECOND_US
-#define TO_RECORD_MAX 256 /* entries that wait for that */
+/* Entries are written to the store in batches, so that a burst of them costs at most one store call per
+ * second. */
+#define WRITE_PERIOD_US BH__SECOND_US
+#define UNRECORDED_MAX 256 /* maximum number of entries that wait to be written; further ones are dropped */
 
-/* An endpoint that is being looked at. */
+/* A liveness probe in progress. */
 typedef struct {
 	Crashes *crashes;
 	uint64_t endpoint_id;
 	Dial *dial;
-} Look;
+} LivenessProbe;
 
 struct Crashes {
-	BH__CrashPort port; /* first: the watch hands it back */
+	BH__CrashPort port; /* must be the first member: callbacks receive it and cast it to Crashes */
 	Gate *gate;
 	BH__CrashWatch *watch;
-	GHashTable *looks;  /* set of Look */
-	GArray *to_record;  /* BH__QuarantineEntry */
-	unsigned recording; /* of those, the first ones, are on their way */
-	uint64_t next_record_us;
-	struct event *timer;
+	GHashTable *probes;       /* set of LivenessProbe */
+	GArray *unrecorded;       /* BH__QuarantineEntry items to write to the store, oldest first */
+	unsigned in_flight_count; /* number of leading items being written now; 0: no write in progress */
+	uint64_t next_write_us;   /* earliest time of the next write */
+	struct event *timer;      /* fires when the crash watch is due */
 };
 
 static void on_send_(BH__CrashPort *port, uint64_t node_id, BH__Message *m);
 static bool on_find_endpoint_(BH__CrashPort *port, uint64_t endpoint_id, uint64_t *born_ms);
-static void on_look_(BH__CrashPort *port, uint64_t endpoint_id);
-static void on_dialled_(void *look, DialEnd end);
+static void on_probe_(BH__CrashPort *port, uint64_t endpoint_id);
+static void on_dialled_(void *probe, DialEnd end);
 static void on_changed_(BH__CrashPort *port, const BH__QuarantineEntry *e, bool judged);
 static void log_entry_(const Crashes *c, const char *what, const BH__QuarantineEntry *e);
 static void set_timer_(Crashes *c);
 static void on_timer_(evutil_socket_t fd, short what, void *arg);
-static void record_(Crashes *c, uint64_t now_us);
-static void on_recorded_(void *crashes, bool recorded);
+static void write_records_(Crashes *c, uint64_t now_us);
+static void on_records_written_(void *crashes, bool written);
 static struct json_object *describe_entry_(const Crashes *c, const BH__QuarantineEntry *e);
 
-/* Starts to watch. Membership must have been started. */
+/* Starts crash detection. Membership must have been started before. */
 Crashes *crashes_new(Gate *g)
 {
 	Crashes *c = g_new0(Crashes, 1);
 
 	c->port = (BH__CrashPort){
-		.send = on_send_, .find_endpoint = on_find_endpoint_, .look = on_look_, .changed = on_changed_};
+		.send = on_send_, .find_endpoint = on_find_endpoint_, .look = on_probe_, .changed = on_changed_};
 	c->gate = g;
 	c->watch = bh__crash_watch_new(&c->port, cluster_get_own_members(g->cluster));
-	c->looks = g_hash_table_new(g_direct_hash, g_direct_equal);
-	c->to_record = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
+	c->probes = g_hash_table_new(g_direct_hash, g_direct_equal);
+	c->unrecorded = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
 	c->timer = evtimer_new(g->base, on_timer_, c);
 	return c;
 }
 
+/* Cancels the probes in progress and frees `c`, which may be NULL. */
 void crashes_delete(Crashes *c)
 {
 	GHashTableIter it;
-	gpointer look;
+	gpointer probe;
 
 	if (!c)
 		return;
-	g_hash_table_iter_init(&it, c->looks);
-	while (g_hash_table_iter_next(&it, &look, NULL)) {
-		dial_cancel(((Look *)look)->dial);
-		g_free(look);
+	g_hash_table_iter_init(&it, c->probes);
+	while (g_hash_table_iter_next(&it, &probe, NULL)) {
+		dial_cancel(((LivenessProbe *)probe)->dial);
+		g_free(probe);
 	}
 	event_free(c->timer);
-	g_hash_table_unref(c->looks);
-	g_array_unref(c->to_record);
+	g_hash_table_unref(c->probes);
+	g_array_unref(c->unrecorded);
 	bh__crash_watch_delete(c->watch);
 	g_free(c);
 }
 
-/* Returns for how much longer a request is to be refused, in microseconds; 0: it may be sent. */
+/* Returns for how many more microseconds a request stays quarantined; 0: it may be sent. */
 uint64_t crashes_get_held_us(const Crashes *c, const BH__Fingerprint *f)
 {
 	return bh__quarantine_get_held_us(bh__crash_watch_get_quarantine(c->watch), f, clock_now_us());
 }
 
-/* Returns true if a request has met two crashes: one more may show that it is the cause. */
+/* Returns true if two crashes are attributed to a request, so that one more may confirm it as their cause. */
 bool crashes_is_suspected(const Crashes *c, const BH__Fingerprint *f)
 {
 	return bh__crash_watch_is_suspected(c->watch, f);
 }
 
-/* A request is refused because it is held. */
+/* Counts a request that was refused because it is quarantined. */
 void crashes_note_refusal(Crashes *c)
 {
 	bh__quarantine_note_refusal(bh__crash_watch_get_quarantine(c->watch));
 }
 
-/* An endpoint broke off a request, or (`helped`) is gone that only helped with it. */
+/* Reports that an endpoint aborted a request, or, if `helped`, that an endpoint has gone which was only a
+ * helper for it. */
 void crashes_note_broken(Crashes *c, const char *service, uint64_t endpoint_id, const BH__Fingerprint *f,
 						 bool helped)
 {
@@ -104,13 +107,15 @@
 	set_timer_(c);
 }
 
-/* A request was served; `was_broken`: after this node had reported that it was broken off. */
+/* Reports that a request was served. `was_broken` means that this node has reported an aborted dispatch of it
+ * before. */
 void crashes_note_served(Crashes *c, const char *service, const BH__Fingerprint *f, bool was_broken)
 {
 	bh__crash_watch_note_served(c->watch, bh__hash_name(service), f, was_broken, clock_now_us());
 }
 
-/* Takes a message. Returns false if it is not one on crashes alone. */
+/* Processes a message from another node. Returns false if the message does not belong to crash detection
+ * alone. */
 bool crashes_process_message(Crashes *c, const BH__Message *m, uint64_t now_us)
 {
 	bool taken = bh__crash_watch_process_message(c->watch, m, now_us);
@@ -120,11 +125,14 @@
 	return taken;
 }
 
+/* Sends a message of the crash watch to a node. */
 static void on_send_(BH__CrashPort *port, uint64_t node_id, BH__Message *m)
 {
 	cluster_send(((Crashes *)port)->gate->cluster, node_id, m);
 }
 
+/* Returns true if the endpoint is registered and is not about to leave. Stores its start time in `born_ms`; 0
+ * if it is not registered. */
 static bool on_find_endpoint_(BH__CrashPort *port, uint64_t endpoint_id, uint64_t *born_ms)
 {
 	const Gate *g = ((Crashes *)port)->gate;
@@ -134,38 +142,39 @@
 	return e && bh__registered_endpoint_stays(e, clock_now_us());
 }
 
-/* Looks whether an endpoint that broke off a request still listens. One that has crashed does not until it is
- * started again, which takes seconds; behind a cut it is silent. */
-static void on_look_(BH__CrashPort *port, uint64_t endpoint_id)
+/* Probes whether an endpoint that aborted a request still listens. A crashed endpoint refuses connections
+ * until it is restarted, which takes seconds; an endpoint behind a network partition does not answer. */
+static void on_probe_(BH__CrashPort *port, uint64_t endpoint_id)
 {
 	Crashes *c = (Crashes *)port;
 	const BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, endpoint_id);
-	Look *l = g_new0(Look, 1);
+	LivenessProbe *p = g_new0(LivenessProbe, 1);
 
-	l->crashes = c;
-	l->endpoint_id = endpoint_id;
-	l->dial = dial_start(c->gate->base, e->entry.address, on_dialled_, l);
-	g_hash_table_add(c->looks, l);
+	p->crashes = c;
+	p->endpoint_id = endpoint_id;
+	p->dial = dial_start(c->gate->base, e->entry.address, on_dialled_, p);
+	g_hash_table_add(c->probes, p);
 }
 
-static void on_dialled_(void *look, DialEnd end)
+/* Passes the result of a probe to the crash watch as evidence. */
+static void on_dialled_(void *probe, DialEnd end)
 {
 	static const BH__CrashProof Proofs[] = {[DIAL_CONNECTED] = BH__CRASH_DENIED,
 											[DIAL_REFUSED] = BH__CRASH_PROVEN,
 											[DIAL_SILENT] = BH__CRASH_UNKNOWN};
-	Look *l = look;
-	Crashes *c = l->crashes;
-	const BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, l->endpoint_id);
-	uint64_t endpoint_id = l->endpoint_id;
+	LivenessProbe *p = probe;
+	Crashes *c = p->crashes;
+	const BH__RegisteredEndpoint *e = bh__registry_find(c->gate->registry, p->endpoint_id);
+	uint64_t endpoint_id = p->endpoint_id;
 
-	g_hash_table_remove(c->looks, l);
-	g_free(l);
+	g_hash_table_remove(c->probes, p);
+	g_free(p);
 	log_event("crash", "endpoint=%s proof=%s", e ? e->entry.id : "gone", BH__CrashProofString[Proofs[end]]);
 	bh__crash_watch_process_proof(c->watch, endpoint_id, Proofs[end], clock_now_us());
 	set_timer_(c);
 }
 
-/* The registry has changed: endpoints that are there under their old ids may have started since. */
+/* Handles a change of the registry: endpoints that keep their ids may have been restarted. */
 void crashes_follow_registry(Crashes *c, uint64_t now_us)
 {
 	for (unsigned i = 0; i < bh__registry_get_count(c->gate->registry); i++) {
@@ -175,6 +184,7 @@
 	set_timer_(c);
 }
 
+/* Sets the timer to the next time at which the crash watch is due, if there is one. */
 static void set_timer_(Crashes *c)
 {
 	uint64_t due_us = bh__crash_watch_get_due_us(c->watch);
@@ -196,18 +206,20 @@
 	set_timer_(c);
 }
 
-/* A request is suspected, held, or not any more. */
+/* Handles a change of the quarantine state of a request. `judged` tells whether this node made the decision
+ * rather than received it. */
 static void on_changed_(BH__CrashPort *port, const BH__QuarantineEntry *e, bool judged)
 {
 	Crashes *c = (Crashes *)port;
 
 	log_entry_(c, judged ? "judged" : "learnt", e);
-	if (judged && e->state != BH__QUARANTINE_SUSPECTED && c->to_record->len < TO_RECORD_MAX)
-		g_array_append_val(c->to_record, *e);
+	if (judged && e->state != BH__QUARANTINE_SUSPECTED && c->unrecorded->len < UNRECORDED_MAX)
+		g_array_append_val(c->unrecorded, *e);
 	if (e->state == BH__QUARANTINE_HELD)
 		calls_process_held(c->gate, &e->fingerprint);
 }
 
+/* Logs a change of a quarantine entry with the endpoints that crashed. */
 static void log_entry_(const Crashes *c, const char *what, const BH__QuarantineEntry *e)
 {
 	char fingerprint[BH__FINGERPRINT_TEXT_LEN];
@@ -224,29 +236,30 @@
 	g_string_free(endpoints, TRUE);
 }
 
-/* Has the platform record what came to be held, or is not any more. */
-static void record_(Crashes *c, uint64_t now_us)
+/* Starts to write waiting entries to the store, unless a write is in progress or the last one began less than
+ * WRITE_PERIOD_US ago. */
+static void write_records_(Crashes *c, uint64_t now_us)
 {
-	if (!c->to_record->len || c->recording || now_us < c->next_record_us)
+	if (!c->unrecorded->len || c->in_flight_count || now_us < c->next_write_us)
 		return;
-	c->recording = MIN(c->to_record->len, GATE_RECORDS_MAX);
-	c->next_record_us = now_us + RECORD_PERIOD_US;
-	c->gate->port->record_quarantine(c->gate, (BH__QuarantineEntry *)(void *)c->to_record->data, c->recording,
-									 on_recorded_, c);
+	c->in_flight_count = MIN(c->unrecorded->len, GATE_RECORDS_MAX);
+	c->next_write_us = now_us + WRITE_PERIOD_US;
+	c->gate->port->record_quarantine(c->gate, (BH__QuarantineEntry *)(void *)c->unrecorded->data,
+									 c->in_flight_count, on_records_written_, c);
 }
 
-/* The first entries are on the platform now, or are tried again. */
-static void on_recorded_(void *crashes, bool recorded)
+/* Removes the entries that were written; after a failure the next write tries them again. */
+static void on_records_written_(void *crashes, bool written)
 {
 	Crashes *c = crashes;
 
-	if (recorded)
-		g_array_remove_range(c->to_record, 0, c->recording);
-	c->recording = 0;
+	if (written)
+		g_array_remove_range(c->unrecorded, 0, c->in_flight_count);
+	c->in_flight_count = 0;
 }
 
-/* The platform's store has gone back to a copy: what is held may not be in its record. One node writes it
- * again. */
+/* Handles a restore of the platform's store from a backup, which may lack entries of quarantined requests.
+ * One node, chosen by fingerprint, writes each entry again. */
 void crashes_follow_era(Crashes *c)
 {
 	const BH__Members *m = cluster_get_members(c->gate->cluster);
@@ -255,31 +268,33 @@
 	bh__quarantine_list(bh__crash_watch_get_quarantine(c->watch), true, all);
 	for (guint i = 0; i < all->len; i++) {
 		const BH__QuarantineEntry *e = &g_array_index(all, BH__QuarantineEntry, i);
-		if (e->state == BH__QUARANTINE_HELD && c->to_record->len < TO_RECORD_MAX &&
+		if (e->state == BH__QUARANTINE_HELD && c->unrecorded->len < UNRECORDED_MAX &&
 			bh__members_pick(m, e->fingerprint.low, NULL) == bh__members_get_self(m)->node_id)
-			g_array_append_val(c->to_record, *e);
+			g_array_append_val(c->unrecorded, *e);
 	}
 	g_array_unref(all);
 }
 
-/* Takes an entry of the platform's record; `since_us` is its age. */
+/* Merges an entry that was loaded from the platform's store; its `since_us` is its age. */
 void crashes_learn(Crashes *c, const BH__QuarantineEntry *aged, uint64_t now_us)
 {
 	bh__crash_watch_learn(c->watch, aged, now_us);
 }
 
-/* An operator lets a request go. Returns false if it is neither suspected nor held. */
+/* Releases a request on behalf of an operator. Returns false if it is neither suspected nor quarantined. */
 bool crashes_release(Crashes *c, const BH__Fingerprint *f)
 {
 	return bh__crash_watch_release(c->watch, f, clock_now_us());
 }
 
+/* Runs the periodic work of the crash watch and writes waiting entries to the store. */
 void crashes_process_tick(Crashes *c, uint64_t now_us)
 {
 	bh__crash_watch_process_tick(c->watch, now_us);
-	record_(c, now_us);
+	write_records_(c, now_us);
 }
 
+/* Returns a quarantine entry as a JSON object. */
 static struct json_object *describe_entry_(const Crashes *c, const BH__QuarantineEntry *e)
 {
 	struct json_object *o = json_object_new_object();
@@ -302,8 +317,8 @@
 	return o;
 }
 
-/* Returns what this node knows of requests that crash endpoints, for operators; to free with
- * json_object_put(). */
+/* Returns this node's view of suspected and quarantined requests as JSON, for operators. The caller frees it
+ * with json_object_put(). */
 struct json_object *crashes_describe(const Crashes *c)
 {
 	struct json_object *root = json_object_new_object();
@@ -318,7 +333,7 @@
 	return root;
 }
 
-/* Writes counts of requests and crashes, as metrics. */
+/* Writes the numbers of requests by quarantine state and the counters of crash detection, as metrics. */
 void crashes_write_status(const Crashes *c, struct evbuffer *out)
 {
 	const BH__QuarantineCounters *k = bh__quarantine_get_counters(bh__crash_watch_get_quarantine(c->watch));
--- a/src/bayhoist-gate/crashes.h
+++ b/src/bayhoist-gate/crashes.h
@@ -1,5 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Requests that crash endpoints, among the nodes: reports of them, who judges, and what all nodes know. */
+/* Detection of requests that crash endpoints, shared by all nodes: crash reports, their evaluation, and the
+ * quarantine of the requests. */
 #ifndef BAYHOIST_GATE_CRASHES_H
 #define BAYHOIST_GATE_CRASHES_H
 
--- a/src/bayhoist-gate/settings.c
+++ b/src/bayhoist-gate/settings.c
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* Reading and checking the gateway's settings. */
+/* Reads and validates the gateway's settings. */
 #include "settings.h"
 
 #include <string.h>
@@ -35,6 +35,7 @@
 static void set_defaults_(GateSettings *s);
 static bool check_(const void *settings, GError **error);
 
+/* Sets the defaults of the optional settings; all others are empty or 0. */
 static void set_defaults_(GateSettings *s)
 {
 	memset(s, 0, sizeof *s);
@@ -50,7 +51,8 @@
 	s->repeat_extra = 20;
 }
 
-/* Loads the file `path`. On failure the error names the field, the line and the cause. */
+/* Loads the settings file `path`. On failure, returns false and sets an error that names the field, the line
+ * and the cause. */
 bool gate_settings_load(GateSettings *s, const char *path, GError **error)
 {
 	static const SettingsKind Kind = {Fields_, G_N_ELEMENTS(Fields_), check_};
@@ -59,12 +61,14 @@
 	return settings_file_read(&Kind, path, s, error);
 }
 
+/* Frees the memory that the settings own. */
 void gate_settings_finish(GateSettings *s)
 {
 	g_strfreev(s->seeds);
 	s->seeds = NULL;
 }
 
+/* Validates all addresses. Returns false and sets an error for the first invalid one. */
 static bool check_(const void *settings, GError **error)
 {
 	const GateSettings *s = settings;
--- a/src/bayhoist-gate/settings.h
+++ b/src/bayhoist-gate/settings.h
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The gateway's settings: JSON with comments, checked. */
+/* The gateway's settings, read from a JSON file with comments and validated. */
 #ifndef BAYHOIST_GATE_SETTINGS_H
 #define BAYHOIST_GATE_SETTINGS_H
 
@@ -7,33 +7,33 @@
 #include <stdbool.h>
 #include "bayhoist/types.h"
 
-#define GATE_SECRET_LEN 128
+#define GATE_SECRET_LEN 128 /* size of a shared key, terminating NUL included */
 
 typedef struct {
-	char name[BH__NAME_LEN];
-	char hall[BH__NAME_LEN];
+	char name[BH__NAME_LEN]; /* name of this node */
+	char hall[BH__NAME_LEN]; /* data hall of this node */
 	char region[BH__NAME_LEN];
 	char caller_address[BH__ADDRESS_LEN];
 	char readiness_address[BH__ADDRESS_LEN];
 	char directory_address[BH__ADDRESS_LEN];
 	char control_address[BH__ADDRESS_LEN];
 	char peer_address[BH__ADDRESS_LEN];
-	char peer_key[GATE_SECRET_LEN];
-	char **seeds; /* addresses of other nodes, on any of their ports */
+	char peer_key[GATE_SECRET_LEN]; /* key that the nodes share; operators use it too */
+	char **seeds;                   /* addresses of other nodes, with any of their ports; NULL-terminated */
 	char store_address[BH__ADDRESS_LEN];
-	uint64_t max_connections;     /* of callers */
-	uint64_t stop_grace_ms;       /* a stop is to be over by then */
-	uint64_t endpoint_drain_ms;   /* an endpoint that leaves gets nothing new after this */
-	uint64_t configuration_ms;    /* a configuration is in force after this */
-	uint64_t key_trust_ms;        /* keys are believed for so long after a look; 0: for ever */
-	uint64_t memory_hold_max_ms;  /* engines hold memory for no longer */
-	uint64_t directory_ttl_max_s; /* callers hold an answer for no longer */
-	double cores;                 /* of the VM's processor that are the node's; 0: not known */
-	double store_reads_per_s;     /* that the store bears of all nodes together */
-	uint64_t memory_mb;           /* of the VM that are the node's; 0: not known */
-	double link_mbps;             /* of the VM's network; 0: not known */
-	double repeat_share;          /* sendings beyond the first of each request, as a share of requests */
-	double repeat_extra;          /* and besides, at once over all nodes */
+	uint64_t max_connections;     /* maximum number of caller connections */
+	uint64_t stop_grace_ms;       /* time within which a planned stop must end */
+	uint64_t endpoint_drain_ms;   /* time after which a leaving endpoint receives no new requests */
+	uint64_t configuration_ms;    /* time within which a new configuration takes effect */
+	uint64_t key_trust_ms;        /* time that keys stay valid after a configuration read; 0: no limit */
+	uint64_t memory_hold_max_ms;  /* maximum time that engines keep memory reserved */
+	uint64_t directory_ttl_max_s; /* maximum time that callers cache a directory answer */
+	double cores;                 /* processor cores of the VM that this node may use; 0: unknown */
+	double store_reads_per_s;     /* read rate that the store sustains from all nodes together */
+	uint64_t memory_mb;           /* memory of the VM that this node may use; 0: unknown */
+	double link_mbps;             /* network bandwidth of the VM; 0: unknown */
+	double repeat_share;          /* retry budget: dispatches beyond the first, as a share of requests */
+	double repeat_extra;          /* additional retries allowed in a burst, over all nodes */
 } GateSettings;
 
 bool gate_settings_load(GateSettings *s, const char *path, GError **error);
