--- a/src/bayhoist-gate/main.c
+++ b/src/bayhoist-gate/main.c
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* bayhoist-gate: start, signals, configuration and stop. */
+/* Main program of bayhoist-gate: startup, signal handling, installation of configurations and shutdown. */
 #include <errno.h>
 #include <event2/thread.h>
 #include <signal.h>
@@ -16,22 +16,23 @@
 #include "version.h"
 #include "web.h"
 
-#define KEY_TRUST_SHARE 0.92 /* of the time that keys may be believed without a look at the configuration */
-/* Callers learn of a stop from the directory, and hold old answers for this long. */
-#define STOP_LEAST_MS 3200
-#define STOP_SHARE 0.9 /* of the grace of a stop that is used */
-#define STOP_CHECK_MS 50
-#define STOP_FLUSH_MS 100 /* for the last answers to go out */
+#define KEY_TRUST_FRACTION 0.92 /* part of key_trust_ms during which keys are trusted */
+/* Minimum duration of a planned stop: callers find other nodes through the directory and may use cached
+ * answers for this long. */
+#define STOP_MIN_MS 3200
+#define STOP_GRACE_FRACTION 0.9 /* part of stop_grace_ms after which calls are ended */
+#define STOP_CHECK_PERIOD_MS 50
+#define STOP_FLUSH_MS 100 /* time to send the last answers */
 #define MB (1024ull * 1024)
-#define LOG_LINES_PER_S 400 /* a node takes some 20 requests a second, each with 3 to 6 lines */
+#define LOG_LINES_PER_S 400 /* a node receives about 20 requests per second, each with 3 to 6 log lines */
 
 static bool start_(Gate *g);
 static void add_seeds_(Gate *g);
-static void add_event_(Gate *g, struct event *event, const struct timeval *period);
+static void register_event_(Gate *g, struct event *event, const struct timeval *period);
 static void on_terminate_(evutil_socket_t sig, short what, void *arg);
 static void on_reload_(evutil_socket_t sig, short what, void *arg);
 static void on_stop_check_(evutil_socket_t fd, short what, void *arg);
-static void follow_era_(Gate *g);
+static void process_era_(Gate *g);
 static void free_(Gate *g);
 
 static const char *SettingsPath_;
@@ -43,9 +44,10 @@
 	"      --check        check the settings and exit\n"
 	"  -h, --help         show this text\n"
 	"  -V, --version      show the version\n"
-	"SIGTERM stops without cutting off a request; a second one stops at once. SIGHUP reads the settings "
-	"anew.\n"
-	"Exit status: 0 stopped as asked, 64 wrong usage, 69 an address cannot be used, 78 wrong settings.\n"};
+	"SIGTERM completes the requests in progress and stops; a second one stops at once. SIGHUP reloads the "
+	"settings.\n"
+	"Exit status: 0 normal stop, 64 usage error, 69 startup failed (an address cannot be used), 78 invalid "
+	"settings.\n"};
 
 int main(int argc, char **argv)
 {
@@ -78,6 +80,8 @@
 	return EX_OK;
 }
 
+/* Starts all parts of the gateway. Returns false if an address can't be used or the platform port does not
+ * start; the error is logged. */
 static bool start_(Gate *g)
 {
 	bool started;
@@ -110,15 +114,15 @@
 	cluster_join(g->cluster);
 	bh__platform_sync_process_tick(looks_get(g->looks), g->started_us);
 	g->port->find_duties(g);
-	add_event_(g, evsignal_new(g->base, SIGTERM, on_terminate_, g), NULL);
-	add_event_(g, evsignal_new(g->base, SIGINT, on_terminate_, g), NULL);
-	add_event_(g, evsignal_new(g->base, SIGHUP, on_reload_, g), NULL);
+	register_event_(g, evsignal_new(g->base, SIGTERM, on_terminate_, g), NULL);
+	register_event_(g, evsignal_new(g->base, SIGINT, on_terminate_, g), NULL);
+	register_event_(g, evsignal_new(g->base, SIGHUP, on_reload_, g), NULL);
 	log_event("start", "caller_address=%s peer_address=%s version=%s", g->settings.caller_address,
 			  g->settings.peer_address, BAYHOIST_VERSION);
 	return true;
 }
 
-/* The other nodes' peer ports are the same as ours. */
+/* Adds the peer addresses of the configured seeds, except this node. All nodes use the same peer port. */
 static void add_seeds_(Gate *g)
 {
 	char ip[BH__ADDRESS_LEN];
@@ -136,29 +140,30 @@
 	}
 }
 
-/* Adds an event that lives as long as the process. */
-static void add_event_(Gate *g, struct event *event, const struct timeval *period)
+/* Adds an event that is freed when the process exits. `period` may be NULL for an event without a timeout. */
+static void register_event_(Gate *g, struct event *event, const struct timeval *period)
 {
 	event_add(event, period);
 	g_ptr_array_add(g->own_events, event);
 }
 
-/* Returns true if keys may be believed: the configuration was looked at not long ago. */
+/* Returns true if the API keys of the configuration may be trusted, because it was read recently enough. */
 bool gate_trusts_keys(const Gate *g, uint64_t now_us)
 {
-	uint64_t trust_us = (uint64_t)((double)g->settings.key_trust_ms * KEY_TRUST_SHARE * BH__MS_US);
+	uint64_t trust_us = (uint64_t)((double)g->settings.key_trust_ms * KEY_TRUST_FRACTION * BH__MS_US);
 
 	return g->routing && (!trust_us || now_us < g->routing_looked_us + trust_us);
 }
 
-/* Returns true if callers should be sent here. */
+/* Returns true if this node is ready for callers: it is not shutting down, trusts its keys and knows
+ * endpoints. */
 bool gate_is_ready(const Gate *g, uint64_t now_us)
 {
 	return !g->leaving_since_us && gate_trusts_keys(g, now_us) && bh__registry_get_count(g->registry) > 0;
 }
 
-/* Takes a routing that was decoded from `text`; the look that showed it was begun at `looked_us`. A version
- * never goes back. */
+/* Installs a routing that was decoded from `text` and takes ownership of it. `looked_us` is the start time of
+ * the platform read that returned it. A routing that is not newer than the current one is discarded. */
 void gate_set_routing(Gate *g, BH__Routing *routing, const char *text, uint64_t looked_us)
 {
 	uint64_t version = bh__routing_get_version(routing);
@@ -180,27 +185,29 @@
 	bh__platform_sync_process_update(looks_get(g->looks), clock_now_us());
 }
 
-/* A look has shown that the operators have not written a configuration yet. */
+/* Records that the platform read begun at `looked_us` has found no configuration: operators have not written
+ * one yet. */
 void gate_note_no_configuration(Gate *g, uint64_t looked_us)
 {
 	g->no_routing_us = looked_us;
 	gate_note_configuration_lost(g);
 }
 
-/* The configuration is being read; within `answer_us` that ends or fails. */
+/* Records that a configuration read has begun, which completes or fails within `answer_us`. */
 void gate_note_configuration_asked(Gate *g, uint64_t answer_us)
 {
 	bh__startup_state_note_asked(&g->knowledge, answer_us, clock_now_us());
 }
 
-/* It was read in vain: calls that wait for it are refused, unless it comes from another node at once. */
+/* Records that a configuration read has failed. Calls that wait for the configuration are refused unless
+ * another node supplies it at once. */
 void gate_note_configuration_lost(Gate *g)
 {
 	bh__startup_state_note_failed(&g->knowledge);
 	calls_process_news(g);
 }
 
-/* The configuration that is held was the newest when a look was begun. */
+/* Records that the installed configuration was the newest one when the platform read at `looked_us` began. */
 void gate_note_look(Gate *g, uint64_t looked_us)
 {
 	if (looked_us > g->routing_looked_us)
@@ -210,48 +217,50 @@
 	calls_process_news(g);
 }
 
-/* Returns true once the configuration and the endpoints have been learnt since the start. */
+/* Returns true once the configuration and the endpoints have been loaded since the start of the process. */
 bool gate_knows_endpoints(const Gate *g)
 {
 	return bh__startup_state_has_endpoints(&g->knowledge);
 }
 
-/* A node is recorded to do a duty: it is taken for alive until it is heard from or turns out not to be. */
+/* Adds a node that the store records as the holder of `duty`. It counts as alive until it answers or is found
+ * to be unresponsive. */
 void gate_presume_node(Gate *g, const char *duty, const BH__MemberInfo *info)
 {
 	log_event("duty", "what=presumed duty=%s node=%s", duty, info->name);
 	cluster_presume(g->cluster, info);
 }
 
-/* The record of duties has been read, as far as it can be. */
+/* Records that the duties have been read from the store as far as possible. */
 void gate_note_duties(Gate *g)
 {
 	bh__startup_state_note_duties(&g->knowledge, clock_now_us());
 	calls_process_news(g);
 }
 
-/* A request is recorded to be held; `since_us` of the entry is its age. */
+/* Merges a stored quarantine entry; its `since_us` is its age. */
 void gate_learn_held(Gate *g, const BH__QuarantineEntry *aged)
 {
 	crashes_learn(g->crashes, aged, clock_now_us());
 }
 
-/* Where the platform's store has gone back to a copy, what the nodes had written there is written again. */
-static void follow_era_(Gate *g)
+/* Detects a restore of the platform's store from a backup by its new era, and has the nodes write their
+ * records again. */
+static void process_era_(Gate *g)
 {
-	BH__StoreVersion place = bh__registry_get_place(g->registry);
+	BH__StoreVersion store_version = bh__registry_get_place(g->registry);
 
-	if (!bh__store_version_is_zero(g->place_seen) && place.era > g->place_seen.era) {
+	if (!bh__store_version_is_zero(g->place_seen) && store_version.era > g->place_seen.era) {
 		log_event("store", "what=era was=%" G_GUINT64_FORMAT " now=%" G_GUINT64_FORMAT, g->place_seen.era,
-				  place.era);
+				  store_version.era);
 		cluster_follow_era(g->cluster);
 		crashes_follow_era(g->crashes);
 	}
-	g->place_seen = place;
+	g->place_seen = store_version;
 }
 
-/* The registry shows the endpoints as they were when a look was begun: the planners follow those that came or
- * went. */
+/* Handles an updated registry, which shows the endpoints as of the platform read begun at `looked_us`; 0: no
+ * read has confirmed it. The planners apply endpoints that were added or removed. */
 void gate_note_registry(Gate *g, uint64_t looked_us)
 {
 	if (looked_us)
@@ -259,7 +268,7 @@
 	if (bh__platform_sync_get_as_of_us(looks_get(g->looks)))
 		bh__startup_state_note_endpoints(&g->knowledge, clock_now_us());
 	bh__registry_process_tick(g->registry, clock_now_us());
-	follow_era_(g);
+	process_era_(g);
 	halls_follow(g);
 	if (g->registry_seen != bh__registry_get_version(g->registry)) {
 		g->registry_seen = bh__registry_get_version(g->registry);
@@ -270,7 +279,8 @@
 	calls_process_news(g);
 }
 
-/* Returns the budget of repeated sendings to a service, of which this node has an even part. */
+/* Returns the retry budget of a service, of which each node has an equal share. The budget is created on
+ * first use. */
 BH__ServiceRetryBudget *gate_get_budget(Gate *g, const char *service)
 {
 	BH__ServiceRetryBudget *b = g_hash_table_lookup(g->budgets, service);
@@ -284,11 +294,12 @@
 	return b;
 }
 
-/* Begins a planned stop: callers are sent elsewhere, and what is under way is finished. */
+/* Begins a planned stop: callers are directed to other nodes, and requests in progress are completed. A
+ * second signal stops at once. */
 static void on_terminate_(evutil_socket_t sig, short what, void *arg)
 {
 	Gate *g = arg;
-	struct timeval check = {0, STOP_CHECK_MS * 1000};
+	struct timeval check = {0, STOP_CHECK_PERIOD_MS * 1000};
 
 	(void)what;
 	log_event("stop", "what=begun signal=%d calls=%u connections=%u", (int)sig, g_hash_table_size(g->calls),
@@ -299,30 +310,32 @@
 	}
 	g->leaving_since_us = clock_now_us();
 	g->stop_at_us =
-		g->leaving_since_us + (uint64_t)((double)g->settings.stop_grace_ms * BH__MS_US * STOP_SHARE);
+		g->leaving_since_us + (uint64_t)((double)g->settings.stop_grace_ms * BH__MS_US * STOP_GRACE_FRACTION);
 	cluster_leave(g->cluster, g->leaving_since_us);
-	add_event_(g, event_new(g->base, -1, EV_PERSIST, on_stop_check_, g), &check);
+	register_event_(g, event_new(g->base, -1, EV_PERSIST, on_stop_check_, g), &check);
 }
 
+/* Ends a planned stop when no calls are left and the minimum duration is over, or when the grace period is
+ * used up. */
 static void on_stop_check_(evutil_socket_t fd, short what, void *arg)
 {
 	Gate *g = arg;
 	const struct timeval flush = {0, STOP_FLUSH_MS * 1000};
 	uint64_t now_us = clock_now_us();
-	bool may_end = now_us >= g->leaving_since_us + STOP_LEAST_MS * BH__MS_US;
+	bool min_time_over = now_us >= g->leaving_since_us + STOP_MIN_MS * BH__MS_US;
 
 	(void)fd;
 	(void)what;
-	if (g->is_ending || (now_us < g->stop_at_us && !(may_end && !g_hash_table_size(g->calls))))
+	if (g->is_ending || (now_us < g->stop_at_us && !(min_time_over && !g_hash_table_size(g->calls))))
 		return;
 	log_event("stop", "what=ending calls=%u", g_hash_table_size(g->calls));
 	g->is_ending = true;
-	g->stop_at_us = now_us; /* what comes now is refused */
+	g->stop_at_us = now_us; /* new requests are refused from now on */
 	calls_stop(g);
 	event_base_loopexit(g->base, &flush);
 }
 
-/* Reads the settings anew; those that are wrong change nothing. */
+/* Reloads the settings that can change at run time. Invalid settings change nothing. */
 static void on_reload_(evutil_socket_t sig, short what, void *arg)
 {
 	Gate *g = arg;
@@ -337,7 +350,7 @@
 		return;
 	}
 	if (strcmp(s.name, g->settings.name) != 0 || strcmp(s.caller_address, g->settings.caller_address) != 0)
-		log_error("reload", "what=partial cause=\"name and addresses change with a restart only\"");
+		log_error("reload", "what=partial cause=\"name and addresses can only be changed by a restart\"");
 	g->settings.max_connections = s.max_connections;
 	g->settings.stop_grace_ms = s.stop_grace_ms;
 	g->settings.endpoint_drain_ms = s.endpoint_drain_ms;
@@ -352,7 +365,7 @@
 	log_event("reload", "what=done");
 }
 
-/* Frees what was started, which after a start that failed may not be all, and writes out the log. */
+/* Frees all parts of the gateway and flushes the log. Parts may be missing after a failed start. */
 static void free_(Gate *g)
 {
 	calls_free(g);
@@ -366,7 +379,7 @@
 	crashes_delete(g->crashes);
 	cluster_free(g->cluster);
 	looks_delete(g->looks);
-	event_base_loop(g->base, EVLOOP_NONBLOCK); /* frees what was left to the loop */
+	event_base_loop(g->base, EVLOOP_NONBLOCK); /* runs the deferred frees of closed connections */
 	g_ptr_array_unref(g->own_events);
 	event_base_free(g->base);
 	bh__routing_unref(g->routing);
--- a/src/bayhoist-gate/web.c
+++ b/src/bayhoist-gate/web.c
@@ -1,6 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* What the gateway answers besides callers' requests: where to go, whether it is ready, and its metrics.
- * These are small requests without a body of interest, which evhttp serves well. */
+/* HTTP servers for the directory, the readiness check, and the control interface with the metrics. evhttp is
+ * sufficient here, because these requests are small and their bodies are not used. */
 #include "gate.h"
 
 #include <event2/buffer.h>
@@ -13,15 +13,15 @@
 #include "log.h"
 #include "web.h"
 
-#define IDLE_S 10
-#define BODY_MAX 65536
-#define HEADERS_MAX 16384
+#define IDLE_TIMEOUT_S 10
+#define BODY_MAX_BYTES 65536
+#define HEADERS_MAX_BYTES 16384
 
 static struct evhttp *listen_(Gate *g, const char *address, void (*cb)(struct evhttp_request *, void *));
 static void on_directory_(struct evhttp_request *req, void *arg);
 static void on_readiness_(struct evhttp_request *req, void *arg);
 static void on_control_(struct evhttp_request *req, void *arg);
-static void release_(Gate *g, struct evhttp_request *req);
+static void release_request_(Gate *g, struct evhttp_request *req);
 static bool is_operator_(const Gate *g, struct evhttp_request *req);
 static void write_metrics_(Gate *g, struct evbuffer *out);
 static void write_histogram_(struct evbuffer *out, const char *name, const char *label,
@@ -29,7 +29,8 @@
 
 static const char *const OutcomeString_[CALL_OUTCOME_COUNT] = {"served", "refused", "failed", "caller-gone"};
 
-/* Listens on the three addresses. Returns false if one can't be used; it is logged. */
+/* Starts to listen on the directory, readiness and control addresses. Returns false if one of them can't be
+ * used, which is logged. */
 bool web_start(Gate *g)
 {
 	const GateSettings *s = &g->settings;
@@ -40,6 +41,7 @@
 	return g->web[0] && g->web[1] && g->web[2];
 }
 
+/* Stops the servers that were started. */
 void web_stop(Gate *g)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(g->web); i++)
@@ -47,6 +49,8 @@
 			evhttp_free(g->web[i]);
 }
 
+/* Starts a server on `address` that passes its requests to `cb`. Returns NULL if it can't
+ * listen, which is logged. */
 static struct evhttp *listen_(Gate *g, const char *address, void (*cb)(struct evhttp_request *, void *))
 {
 	struct evhttp *http = evhttp_new(g->base);
@@ -54,9 +58,9 @@
 	uint16_t port;
 
 	evhttp_set_allowed_methods(http, EVHTTP_REQ_GET | EVHTTP_REQ_POST);
-	evhttp_set_max_headers_size(http, HEADERS_MAX);
-	evhttp_set_max_body_size(http, BODY_MAX);
-	evhttp_set_timeout(http, IDLE_S);
+	evhttp_set_max_headers_size(http, HEADERS_MAX_BYTES);
+	evhttp_set_max_body_size(http, BODY_MAX_BYTES);
+	evhttp_set_timeout(http, IDLE_TIMEOUT_S);
 	evhttp_set_gencb(http, cb, g);
 	if (web_split_address(address, ip, sizeof ip, &port) && evhttp_bind_socket(http, ip, port) == 0)
 		return http;
@@ -80,7 +84,9 @@
 	g->port->answer_readiness(g, req);
 }
 
-/* Lists the caller addresses of nodes that take callers: those of `hall` if it has at least two, else all. */
+/* Stores the caller addresses of up to `max` nodes that accept callers in `out` and returns their number.
+ * Lists only nodes of `hall` if it has at least two of them, and those of all halls otherwise. `hall` may be
+ * NULL. */
 unsigned web_list_caller_addresses(Gate *g, const char *hall, const char *out[], unsigned max)
 {
 	const BH__Members *m = cluster_get_members(g->cluster);
@@ -101,6 +107,7 @@
 	return count;
 }
 
+/* Answers a request to the control interface. */
 static void on_control_(struct evhttp_request *req, void *arg)
 {
 	Gate *g = arg;
@@ -119,7 +126,7 @@
 		return;
 	}
 	if (!strcmp(web_get_path(req), "/quarantine/release")) {
-		release_(g, req);
+		release_request_(g, req);
 		return;
 	}
 	if (strcmp(web_get_path(req), "/metrics") != 0) {
@@ -133,14 +140,15 @@
 	evbuffer_free(out);
 }
 
-/* An operator lets a request go that is suspected or held. */
-static void release_(Gate *g, struct evhttp_request *req)
+/* Releases a suspected or quarantined request on behalf of an operator. */
+static void release_request_(Gate *g, struct evhttp_request *req)
 {
 	char *text = web_get_query(req, "fingerprint");
 	BH__Fingerprint f;
 
 	if (evhttp_request_get_command(req) != EVHTTP_REQ_POST || !is_operator_(g, req))
-		web_reply_error(req, 401, NULL, "unauthorized", "a release is a POST with the nodes' shared key");
+		web_reply_error(req, 401, NULL, "unauthorized",
+						"a release must be a POST request with the nodes' shared key");
 	else if (!text || !bh__fingerprint_read(text, &f))
 		web_reply_error(req, 400, NULL, "bad-request", "field \"fingerprint\" must be 32 hexadecimal digits");
 	else if (!crashes_release(g->crashes, &f))
@@ -150,6 +158,8 @@
 	g_free(text);
 }
 
+/* Returns true if a request carries the nodes' shared key. The comparison takes constant time, so that its
+ * duration does not reveal the key. */
 static bool is_operator_(const Gate *g, struct evhttp_request *req)
 {
 	const char *header = web_get_header(req, "Authorization");
@@ -159,10 +169,11 @@
 		   CRYPTO_memcmp(key, g->settings.peer_key, strlen(key)) == 0;
 }
 
+/* Writes all metrics of the node in the Prometheus text format. */
 static void write_metrics_(Gate *g, struct evbuffer *out)
 {
 	static const char *const SizeLabel[BH__SIZE_CLASSES] = {"4k", "32k", "100k", "more"};
-	const GateCounters *k = &g->counters;
+	const GateCounters *counters = &g->counters;
 	uint64_t now_us = clock_now_us();
 	GHashTableIter it;
 	gpointer name;
@@ -170,35 +181,35 @@
 	const struct {
 		const char *name;
 		uint64_t value;
-	} all[] = {{"requests_total", k->requests},
-			   {"sendings_total", k->dispatches},
-			   {"repeats_total", k->repeats},
-			   {"resumes_total", k->resumes},
-			   {"local_grants_total", k->local_grants},
-			   {"denied_keys_total", k->denied_keys},
-			   {"no_route_total", k->no_route},
-			   {"stale_refusals_total", k->stale_refusals},
-			   {"directory_answers_total", k->directory_answers},
-			   {"bad_answers_total", k->bad_frames},
-			   {"limit_changes_total", k->limit_changes},
-			   {"request_bytes", g->room.request_bytes},
-			   {"answer_bytes", inbounds_get_answer_bytes(g)},
-			   {"no_room_total", g->room.refusals},
-			   {"calls", g_hash_table_size(g->calls)},
-			   {"connections", g_hash_table_size(g->inbounds)},
-			   {"endpoints", bh__registry_get_count(g->registry)},
-			   {"configuration_version", g->routing ? bh__routing_get_version(g->routing) : 0},
-			   {"configuration_age_ms", g->routing ? (now_us - g->routing_looked_us) / BH__MS_US : 0},
-			   {"log_lines_left_out_total", log_get_left_out()}};
-
-	for (size_t i = 0; i < G_N_ELEMENTS(all); i++)
-		evbuffer_add_printf(out, "bayhoist_%s %" G_GUINT64_FORMAT "\n", all[i].name, all[i].value);
+	} metrics[] = {{"requests_total", counters->requests},
+				   {"sendings_total", counters->dispatches},
+				   {"repeats_total", counters->repeats},
+				   {"resumes_total", counters->resumes},
+				   {"local_grants_total", counters->local_grants},
+				   {"denied_keys_total", counters->denied_keys},
+				   {"no_route_total", counters->no_route},
+				   {"stale_refusals_total", counters->stale_refusals},
+				   {"directory_answers_total", counters->directory_answers},
+				   {"bad_answers_total", counters->bad_frames},
+				   {"limit_changes_total", counters->limit_changes},
+				   {"request_bytes", g->room.request_bytes},
+				   {"answer_bytes", inbounds_get_answer_bytes(g)},
+				   {"no_room_total", g->room.refusals},
+				   {"calls", g_hash_table_size(g->calls)},
+				   {"connections", g_hash_table_size(g->inbounds)},
+				   {"endpoints", bh__registry_get_count(g->registry)},
+				   {"configuration_version", g->routing ? bh__routing_get_version(g->routing) : 0},
+				   {"configuration_age_ms", g->routing ? (now_us - g->routing_looked_us) / BH__MS_US : 0},
+				   {"log_lines_left_out_total", log_get_left_out()}};
+
+	for (size_t i = 0; i < G_N_ELEMENTS(metrics); i++)
+		evbuffer_add_printf(out, "bayhoist_%s %" G_GUINT64_FORMAT "\n", metrics[i].name, metrics[i].value);
 	for (int i = 0; i < BH__DISPATCH_END_COUNT; i++)
 		evbuffer_add_printf(out, "bayhoist_sending_ends_total{end=\"%s\"} %" G_GUINT64_FORMAT "\n",
-							BH__DispatchEndString[i], k->sending_ends[i]);
+							BH__DispatchEndString[i], counters->sending_ends[i]);
 	for (int i = 0; i < CALL_OUTCOME_COUNT; i++)
 		evbuffer_add_printf(out, "bayhoist_outcomes_total{outcome=\"%s\"} %" G_GUINT64_FORMAT "\n",
-							OutcomeString_[i], k->outcomes[i]);
+							OutcomeString_[i], counters->outcomes[i]);
 	g_hash_table_iter_init(&it, g->budgets);
 	while (g_hash_table_iter_next(&it, &name, &budget)) {
 		const BH__ServiceRetryBudget *b = budget;
@@ -208,9 +219,9 @@
 							(const char *)name, b->spent, (const char *)name, b->denied);
 	}
 	for (int i = 0; i < BH__SIZE_CLASSES; i++)
-		write_histogram_(out, "first_event_ms", SizeLabel[i], &k->first_event[i]);
-	write_histogram_(out, "grant_wait_ms", "all", &k->grant_wait);
-	write_histogram_(out, "whole_ms", "all", &k->whole);
+		write_histogram_(out, "first_event_ms", SizeLabel[i], &counters->first_event[i]);
+	write_histogram_(out, "grant_wait_ms", "all", &counters->grant_wait);
+	write_histogram_(out, "whole_ms", "all", &counters->whole);
 	looks_write_status(g->looks, out);
 	halls_write_status(g, out);
 	signals_write_status(g, out);
@@ -218,6 +229,7 @@
 	crashes_write_status(g->crashes, out);
 }
 
+/* Writes a histogram with cumulative buckets; `label` is the value of its `size` label. */
 static void write_histogram_(struct evbuffer *out, const char *name, const char *label,
 							 const BH__Histogram *h)
 {
