--- a/src/bayhoist-gate/crashes.c
+++ b/src/bayhoist-gate/crashes.c
@@ -196,6 +196,7 @@
 		evtimer_add(c->timer, &tv);
 }
 
+/* Runs the crash watch when it is due. */
 static void on_timer_(evutil_socket_t fd, short what, void *arg)
 {
 	Crashes *c = arg;
--- a/src/bayhoist-gate/inbound.c
+++ b/src/bayhoist-gate/inbound.c
@@ -163,6 +163,7 @@
 	event_add(in->timer, &tv);
 }
 
+/* Handles input from the caller. */
 static void on_read_(struct bufferevent *bev, void *arg)
 {
 	(void)bev;
@@ -226,6 +227,7 @@
 	in->error_message = message;
 }
 
+/* Discards the previous request when the next one begins. */
 static int on_message_begin_(http_parser *p)
 {
 	clear_request_(p->data);
@@ -258,12 +260,14 @@
 	in->error_status = 0;
 }
 
+/* Appends a part of the request target, which the parser may report in several parts. */
 static int on_url_(http_parser *p, const char *at, size_t len)
 {
 	g_string_append_len(((Inbound *)p->data)->url, at, (gssize)len);
 	return 0;
 }
 
+/* Appends a part of a header name. The first part after a value completes the previous header. */
 static int on_header_name_(http_parser *p, const char *at, size_t len)
 {
 	Inbound *in = p->data;
@@ -274,6 +278,7 @@
 	return 0;
 }
 
+/* Appends a part of a header value. */
 static int on_header_value_(http_parser *p, const char *at, size_t len)
 {
 	Inbound *in = p->data;
@@ -437,6 +442,8 @@
 	in->call = call_start(in->gate, in);
 }
 
+/* Returns the request that was read last. It is valid until the next one begins; its body until the answer
+ * has been written. */
 const InboundRequest *inbound_get_request(const Inbound *in)
 {
 	return &in->request;
@@ -573,7 +580,7 @@
 		return;
 	}
 	http_parser_pause(&in->parser, 0);
-	/* the call may still read the request; only the body is freed before the next request begins */
+	/* the call may still read the request: all but its body is kept until the next request begins */
 	in->is_complete = false;
 	g_byte_array_unref(in->request.body);
 	in->request.body = g_byte_array_new();
--- a/src/bayhoist-gate/main.c
+++ b/src/bayhoist-gate/main.c
@@ -16,7 +16,7 @@
 #include "version.h"
 #include "web.h"
 
-#define KEY_TRUST_FRACTION 0.92 /* part of key_trust_ms during which keys are trusted */
+#define KEY_TRUST_FRACTION 0.92 /* part of key_trust_ms during which keys are trusted without a new read */
 /* Minimum duration of a planned stop: callers find other nodes through the directory and may use cached
  * answers for this long. */
 #define STOP_MIN_MS 3200
@@ -49,6 +49,7 @@
 	"Exit status: 0 normal stop, 64 usage error, 69 startup failed (an address cannot be used), 78 invalid "
 	"settings.\n"};
 
+/* Loads the settings, runs the event loop until the node has stopped, and returns the exit status. */
 int main(int argc, char **argv)
 {
 	DaemonOptions options;
@@ -162,9 +163,10 @@
 	return !g->leaving_since_us && gate_trusts_keys(g, now_us) && bh__registry_get_count(g->registry) > 0;
 }
 
-/* Installs a routing that was decoded from `text` and takes ownership of it. `looked_us` is the start time of
- * the platform read that returned it. A routing that is not newer than the current one is discarded. */
-void gate_set_routing(Gate *g, BH__Routing *routing, const char *text, uint64_t looked_us)
+/* Installs a routing that was decoded from `text` and takes ownership of it. `platform_read_us` is the start
+ * time of the platform read that returned it. A routing that is not newer than the current one is discarded.
+ */
+void gate_set_routing(Gate *g, BH__Routing *routing, const char *text, uint64_t platform_read_us)
 {
 	uint64_t version = bh__routing_get_version(routing);
 
@@ -181,15 +183,15 @@
 		g->routing_text = g_strdup(text);
 		cluster_follow_routing(g->cluster, clock_now_us());
 	}
-	gate_note_look(g, looked_us);
+	gate_note_look(g, platform_read_us);
 	bh__platform_sync_process_update(looks_get(g->looks), clock_now_us());
 }
 
-/* Records that the platform read begun at `looked_us` has found no configuration: operators have not written
- * one yet. */
-void gate_note_no_configuration(Gate *g, uint64_t looked_us)
+/* Records that the platform read begun at `platform_read_us` has found no configuration: operators have not
+ * written one yet. */
+void gate_note_no_configuration(Gate *g, uint64_t platform_read_us)
 {
-	g->no_routing_us = looked_us;
+	g->no_routing_us = platform_read_us;
 	gate_note_configuration_lost(g);
 }
 
@@ -207,11 +209,12 @@
 	calls_process_news(g);
 }
 
-/* Records that the installed configuration was the newest one when the platform read at `looked_us` began. */
-void gate_note_look(Gate *g, uint64_t looked_us)
+/* Records that the installed configuration was the newest one when the platform read at `platform_read_us`
+ * began. */
+void gate_note_look(Gate *g, uint64_t platform_read_us)
 {
-	if (looked_us > g->routing_looked_us)
-		g->routing_looked_us = looked_us;
+	if (platform_read_us > g->routing_looked_us)
+		g->routing_looked_us = platform_read_us;
 	if (g->routing && g->routing_looked_us)
 		bh__startup_state_note_configuration(&g->knowledge, clock_now_us());
 	calls_process_news(g);
@@ -259,12 +262,12 @@
 	g->place_seen = store_version;
 }
 
-/* Handles an updated registry, which shows the endpoints as of the platform read begun at `looked_us`; 0: no
- * read has confirmed it. The planners apply endpoints that were added or removed. */
-void gate_note_registry(Gate *g, uint64_t looked_us)
+/* Handles an updated registry, which shows the endpoints as of the platform read begun at `platform_read_us`;
+ * 0: no read has confirmed it. The planners apply endpoints that were added or removed. */
+void gate_note_registry(Gate *g, uint64_t platform_read_us)
 {
-	if (looked_us)
-		bh__platform_sync_note_read_answered(looks_get(g->looks), looked_us, clock_now_us());
+	if (platform_read_us)
+		bh__platform_sync_note_read_answered(looks_get(g->looks), platform_read_us, clock_now_us());
 	if (bh__platform_sync_get_as_of_us(looks_get(g->looks)))
 		bh__startup_state_note_endpoints(&g->knowledge, clock_now_us());
 	bh__registry_process_tick(g->registry, clock_now_us());
--- a/src/bayhoist-gate/outbound.c
+++ b/src/bayhoist-gate/outbound.c
@@ -166,6 +166,7 @@
 		finish_(o, o->is_complete ? OUTBOUND_DONE : OUTBOUND_BROKEN);
 }
 
+/* Prepares for the head of the next interim or final answer. */
 static int on_message_begin_(http_parser *p)
 {
 	clear_head_(p->data);
@@ -196,6 +197,7 @@
 	return 0;
 }
 
+/* Appends a part of a header name. The first part after a value completes the previous header. */
 static int on_header_name_(http_parser *p, const char *at, size_t len)
 {
 	Outbound *o = p->data;
@@ -206,6 +208,7 @@
 	return 0;
 }
 
+/* Appends a part of a header value. */
 static int on_header_value_(http_parser *p, const char *at, size_t len)
 {
 	Outbound *o = p->data;
@@ -254,6 +257,7 @@
 	return o->no_body ? 1 : 0;
 }
 
+/* Passes a part of the body to the owner, unless the request has been cancelled. */
 static int on_body_(http_parser *p, const char *at, size_t len)
 {
 	Outbound *o = p->data;
@@ -277,8 +281,7 @@
 	return 0;
 }
 
-/* Closes the connection and calls on_end with the result. Does nothing if the connection is closed already.
- */
+/* Closes the connection and calls on_end with the result. Does nothing if the connection is closed. */
 static void finish_(Outbound *o, OutboundEnd end)
 {
 	OutboundCallbacks cb = o->cb;
--- a/src/bayhoist-gate/web.c
+++ b/src/bayhoist-gate/web.c
@@ -13,7 +13,7 @@
 #include "log.h"
 #include "web.h"
 
-#define IDLE_TIMEOUT_S 10
+#define IDLE_TIMEOUT_S 10 /* time without traffic after which a connection is closed */
 #define BODY_MAX_BYTES 65536
 #define HEADERS_MAX_BYTES 16384
 
@@ -49,8 +49,8 @@
 			evhttp_free(g->web[i]);
 }
 
-/* Starts a server on `address` that passes its requests to `cb`. Returns NULL if it can't
- * listen, which is logged. */
+/* Starts a server on `address` that passes its requests to `cb`. Returns NULL if it can't listen,
+ * which is logged. */
 static struct evhttp *listen_(Gate *g, const char *address, void (*cb)(struct evhttp_request *, void *))
 {
 	struct evhttp *http = evhttp_new(g->base);
@@ -69,6 +69,7 @@
 	return NULL;
 }
 
+/* Counts a directory request and passes it to the platform port. */
 static void on_directory_(struct evhttp_request *req, void *arg)
 {
 	Gate *g = arg;
@@ -77,6 +78,7 @@
 	g->port->answer_directory(g, req);
 }
 
+/* Passes a readiness request to the platform port. */
 static void on_readiness_(struct evhttp_request *req, void *arg)
 {
 	Gate *g = arg;
