--- a/src/bayhoist-gate/main.c
+++ b/src/bayhoist-gate/main.c
@@ -164,8 +164,7 @@
 }
 
 /* Installs a routing that was decoded from `text` and takes ownership of it. `platform_read_us` is the start
- * time of the platform read that returned it. A routing that is not newer than the current one is discarded.
- */
+ * time of the platform read that returned it. A routing that is not newer than the current one is dropped. */
 void gate_set_routing(Gate *g, BH__Routing *routing, const char *text, uint64_t platform_read_us)
 {
 	uint64_t version = bh__routing_get_version(routing);
