--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -124,7 +124,7 @@
 	BH__StartupProgress state;
 	GList *all;
 
-	if (gate_knows_endpoints(g))
+	if (gate_has_endpoints(g))
 		cluster_process_deferred(g->cluster);
 	state = bh__startup_state_get_progress(&g->startup_state, clock_now_us());
 	if (state == BH__STARTUP_STATE_PENDING || g->startup_complete)
@@ -290,7 +290,7 @@
 static void refuse_(Call *c, int status, uint64_t retry_after_ms, const char *code, const char *message)
 {
 	if (c->in)
-		inbound_answer_own(c->in, status, retry_after_ms, code, message);
+		inbound_send_error(c->in, status, retry_after_ms, code, message);
 	c->in = NULL;
 	finish_(c, CALL_REFUSED, code);
 }
@@ -393,7 +393,7 @@
 /* Ends a request that is quarantined because it crashes endpoints. Returns false if it is not quarantined. */
 static bool abandon_quarantined_(Call *c)
 {
-	uint64_t held_us = crashes_get_held_us(c->gate->crashes, &c->fingerprint);
+	uint64_t held_us = crashes_get_quarantine_us(c->gate->crashes, &c->fingerprint);
 
 	if (!held_us)
 		return false;
@@ -713,15 +713,15 @@
 		refuse_(c, 503, retry_no_endpoint_ms_(c), "not-run", "no endpoint ran the request");
 		break;
 	case BH__NEXT_ACTION_FAIL:
-		inbound_answer_own(c->in, 502, 0, "endpoint-failed", "the endpoint failed; the request may have run");
+		inbound_send_error(c->in, 502, 0, "endpoint-failed", "the endpoint failed; the request may have run");
 		finish_(c, CALL_FAILED, "endpoint-failed");
 		break;
 	case BH__NEXT_ACTION_TIME_OUT:
-		inbound_answer_own(c->in, 504, 0, "deadline", "the request's time is up; it may have run");
+		inbound_send_error(c->in, 504, 0, "deadline", "the request's time is up; it may have run");
 		finish_(c, CALL_FAILED, "deadline");
 		break;
 	case BH__NEXT_ACTION_BREAK_OFF:
-		inbound_break_off(c->in);
+		inbound_abort(c->in);
 		finish_(c, CALL_FAILED, "broken-off");
 		break;
 	}
--- a/src/bayhoist-gate/crashes.c
+++ b/src/bayhoist-gate/crashes.c
@@ -81,7 +81,7 @@
 }
 
 /* Returns for how many more microseconds a request stays quarantined; 0: it may be sent. */
-uint64_t crashes_get_held_us(const Crashes *c, const BH__Fingerprint *f)
+uint64_t crashes_get_quarantine_us(const Crashes *c, const BH__Fingerprint *f)
 {
 	return bh__quarantine_get_held_us(bh__crash_watch_get_quarantine(c->watch), f, clock_now_us());
 }
@@ -100,10 +100,11 @@
 
 /* Reports that an endpoint aborted a request, or, if `helped`, that an endpoint has gone which was only a
  * helper for it. */
-void crashes_note_broken(Crashes *c, const char *service, uint64_t endpoint_id, const BH__Fingerprint *f,
-						 bool helped)
+void crashes_note_aborted(Crashes *c, const char *service, uint64_t endpoint_id, const BH__Fingerprint *f,
+						  bool was_helper)
 {
-	bh__crash_watch_note_aborted(c->watch, bh__hash_name(service), endpoint_id, f, helped, clock_now_us());
+	bh__crash_watch_note_aborted(c->watch, bh__hash_name(service), endpoint_id, f, was_helper,
+								 clock_now_us());
 	set_timer_(c);
 }
 
@@ -176,7 +177,7 @@
 }
 
 /* Handles a change of the registry: endpoints that keep their ids may have been restarted. */
-void crashes_follow_registry(Crashes *c, uint64_t now_us)
+void crashes_apply_registry(Crashes *c, uint64_t now_us)
 {
 	for (unsigned i = 0; i < bh__registry_get_count(c->gate->registry); i++) {
 		const BH__RegisteredEndpoint *e = bh__registry_get(c->gate->registry, i);
@@ -262,7 +263,7 @@
 
 /* Handles a restore of the platform's store from a backup, which may lack entries of quarantined requests.
  * One node, chosen by fingerprint, writes each entry again. */
-void crashes_follow_era(Crashes *c)
+void crashes_process_restore(Crashes *c)
 {
 	const BH__Members *m = cluster_get_members(c->gate->cluster);
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(BH__QuarantineEntry));
@@ -278,7 +279,7 @@
 }
 
 /* Merges an entry that was loaded from the platform's store; its `since_us` is its age. */
-void crashes_learn(Crashes *c, const BH__QuarantineEntry *aged, uint64_t now_us)
+void crashes_merge_entry(Crashes *c, const BH__QuarantineEntry *aged, uint64_t now_us)
 {
 	bh__crash_watch_merge(c->watch, aged, now_us);
 }
--- a/src/bayhoist-gate/crashes.h
+++ b/src/bayhoist-gate/crashes.h
@@ -9,15 +9,15 @@
 
 Crashes *crashes_new(Gate *g);
 void crashes_delete(Crashes *c);
-uint64_t crashes_get_held_us(const Crashes *c, const BH__Fingerprint *f);
+uint64_t crashes_get_quarantine_us(const Crashes *c, const BH__Fingerprint *f);
 bool crashes_is_suspected(const Crashes *c, const BH__Fingerprint *f);
 void crashes_note_refusal(Crashes *c);
-void crashes_note_broken(Crashes *c, const char *service, uint64_t endpoint_id, const BH__Fingerprint *f,
-						 bool helped);
+void crashes_note_aborted(Crashes *c, const char *service, uint64_t endpoint_id, const BH__Fingerprint *f,
+						  bool was_helper);
 void crashes_note_served(Crashes *c, const char *service, const BH__Fingerprint *f, bool was_aborted);
-void crashes_follow_registry(Crashes *c, uint64_t now_us);
-void crashes_follow_era(Crashes *c);
-void crashes_learn(Crashes *c, const BH__QuarantineEntry *aged, uint64_t now_us);
+void crashes_apply_registry(Crashes *c, uint64_t now_us);
+void crashes_process_restore(Crashes *c);
+void crashes_merge_entry(Crashes *c, const BH__QuarantineEntry *aged, uint64_t now_us);
 bool crashes_process_message(Crashes *c, const BH__Message *m, uint64_t now_us);
 bool crashes_release(Crashes *c, const BH__Fingerprint *f);
 void crashes_process_tick(Crashes *c, uint64_t now_us);
--- a/src/bayhoist-gate/deferred_asks.c
+++ b/src/bayhoist-gate/deferred_asks.c
@@ -41,7 +41,7 @@
  * has ended, so that the planner also knows the work already granted. */
 static bool may_schedule_(const Cluster *c, const Service *s, uint64_t now_us)
 {
-	return s && gate_knows_endpoints(c->gate) && bh__takeover_is_done(&s->takeover, c->members, now_us);
+	return s && gate_has_endpoints(c->gate) && bh__takeover_is_done(&s->takeover, c->members, now_us);
 }
 
 /* Returns the queue element of a deferred ask, or NULL if the ask is not deferred. */
@@ -73,7 +73,7 @@
 		DeferredAsk *e = g_queue_pop_head(&c->deferred);
 		Service *s = schedulers_find(c, e->ask.pool_id);
 		bool is_old = now_us >= e->arrived_us + BH__TAKEOVER_MAX_US;
-		if (may_schedule_(c, s, now_us) || (is_old && s && gate_knows_endpoints(c->gate))) {
+		if (may_schedule_(c, s, now_us) || (is_old && s && gate_has_endpoints(c->gate))) {
 			bh__planner_process_ask(s->planner, &e->ask, now_us);
 			g_free(e);
 		}
--- a/src/bayhoist-gate/dispatch.c
+++ b/src/bayhoist-gate/dispatch.c
@@ -275,7 +275,7 @@
 	c->progress_notified = true;
 	if (!c->retry.answer_begun)
 		dispatch_begin_answer(c);
-	if (!inbound_answer_more(c->in, data, len) && !c->paused) {
+	if (!inbound_answer_append(c->in, data, len) && !c->paused) {
 		c->paused = true;
 		outbound_pause(c->out, true);
 	}
@@ -357,7 +357,7 @@
 	if (!broke && !helper_gone)
 		return;
 	c->crash_reported = true;
-	crashes_note_broken(crashes, c->service->name, at_fault, &c->fingerprint, helper_gone);
+	crashes_note_aborted(crashes, c->service->name, at_fault, &c->fingerprint, helper_gone);
 }
 
 /* Returns the id of the endpoint that a refusal names as its cause, which may be a helper, or of the endpoint
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -100,11 +100,11 @@
 
 /* main.c */
 bool gate_is_ready(const Gate *g, uint64_t now_us);
-bool gate_knows_endpoints(const Gate *g);
+bool gate_has_endpoints(const Gate *g);
 bool gate_trusts_keys(const Gate *g, uint64_t now_us);
 void gate_set_routing(Gate *g, BH__Routing *routing, const char *text, uint64_t platform_read_us);
 void gate_note_no_configuration(Gate *g, uint64_t platform_read_us);
-void gate_note_configuration_asked(Gate *g, uint64_t answer_us);
+void gate_note_configuration_requested(Gate *g, uint64_t answer_us);
 void gate_note_configuration_failed(Gate *g);
 void gate_note_platform_read(Gate *g, uint64_t platform_read_us);
 void gate_note_registry(Gate *g, uint64_t platform_read_us);
@@ -128,16 +128,16 @@
 bool inbounds_listen(Gate *g);
 void inbounds_free(Gate *g);
 const InboundRequest *inbound_get_request(const Inbound *in);
-void inbound_answer_own(Inbound *in, int status, uint64_t retry_after_ms, const char *code,
+void inbound_send_error(Inbound *in, int status, uint64_t retry_after_ms, const char *code,
 						const char *message);
 void inbound_answer_complete(Inbound *in, int status, const char *reason, const GString *headers,
 							 struct evbuffer *body);
 void inbound_answer_begin(Inbound *in, int status, const char *reason, const GString *headers);
-bool inbound_answer_more(Inbound *in, const char *data, size_t len);
+bool inbound_answer_append(Inbound *in, const char *data, size_t len);
 uint64_t inbounds_get_answer_bytes(const Gate *g);
 size_t inbound_get_answer_max(const Gate *g, size_t max);
 void inbound_answer_end(Inbound *in);
-void inbound_break_off(Inbound *in);
+void inbound_abort(Inbound *in);
 
 /* outbound.c */
 /* How a connection to an endpoint ended. */
--- a/src/bayhoist-gate/inbound.c
+++ b/src/bayhoist-gate/inbound.c
@@ -413,7 +413,7 @@
 	bool is_full = in->error_status == 503;
 
 	in->keep_alive = false;
-	inbound_answer_own(in, in->error_status, is_full ? NO_MEMORY_RETRY_MS : 0,
+	inbound_send_error(in, in->error_status, is_full ? NO_MEMORY_RETRY_MS : 0,
 					   is_full ? "no-memory" : "bad-request", in->error_message);
 }
 
@@ -466,7 +466,7 @@
 
 /* Sends an error answer that the gateway itself generates. `retry_after_ms` is the retry delay for the
  * caller; 0: no delay is sent. */
-void inbound_answer_own(Inbound *in, int status, uint64_t retry_after_ms, const char *code,
+void inbound_send_error(Inbound *in, int status, uint64_t retry_after_ms, const char *code,
 						const char *message)
 {
 	struct evbuffer *out = bufferevent_get_output(in->bev);
@@ -531,7 +531,7 @@
 
 /* Sends the next part of an answer. Returns false if the output buffer is above its high watermark, so that
  * the gateway should pause reading from the endpoint. */
-bool inbound_answer_more(Inbound *in, const char *data, size_t len)
+bool inbound_answer_append(Inbound *in, const char *data, size_t len)
 {
 	struct evbuffer *out = bufferevent_get_output(in->bev);
 
@@ -555,7 +555,7 @@
 
 /* Aborts an answer that can't be completed, in a way that the caller can detect: a chunked answer is closed
  * without its last chunk, any other by a TCP reset. */
-void inbound_break_off(Inbound *in)
+void inbound_abort(Inbound *in)
 {
 	struct linger reset = {.l_onoff = 1, .l_linger = 0};
 
@@ -640,7 +640,7 @@
 	if (in->state == READING && in->has_bytes && !in->head_complete) {
 		in->keep_alive = false;
 		in->state = BUSY;
-		inbound_answer_own(in, 408, 0, "request-timeout", "the request's headers were not received in time");
+		inbound_send_error(in, 408, 0, "request-timeout", "the request's headers were not received in time");
 	}
 	else if (in->state != BUSY) {
 		close_connection_(in);
--- a/src/bayhoist-gate/main.c
+++ b/src/bayhoist-gate/main.c
@@ -195,7 +195,7 @@
 }
 
 /* Records that a configuration read has begun, which completes or fails within `answer_us`. */
-void gate_note_configuration_asked(Gate *g, uint64_t answer_us)
+void gate_note_configuration_requested(Gate *g, uint64_t answer_us)
 {
 	bh__startup_state_note_asked(&g->startup_state, answer_us, clock_now_us());
 }
@@ -220,7 +220,7 @@
 }
 
 /* Returns true once the configuration and the endpoints have been loaded since the start of the process. */
-bool gate_knows_endpoints(const Gate *g)
+bool gate_has_endpoints(const Gate *g)
 {
 	return bh__startup_state_has_endpoints(&g->startup_state);
 }
@@ -243,7 +243,7 @@
 /* Merges a stored quarantine entry; its `since_us` is its age. */
 void gate_merge_quarantined(Gate *g, const BH__QuarantineEntry *aged)
 {
-	crashes_learn(g->crashes, aged, clock_now_us());
+	crashes_merge_entry(g->crashes, aged, clock_now_us());
 }
 
 /* Detects a restore of the platform's store from a backup by its new era, and has the nodes write their
@@ -256,7 +256,7 @@
 		log_event("store", "what=era was=%" G_GUINT64_FORMAT " now=%" G_GUINT64_FORMAT,
 				  g->store_version_seen.era, store_version.era);
 		cluster_apply_era(g->cluster);
-		crashes_follow_era(g->crashes);
+		crashes_process_restore(g->crashes);
 	}
 	g->store_version_seen = store_version;
 }
@@ -276,7 +276,7 @@
 	if (g->registry_version_applied != bh__registry_get_version(g->registry)) {
 		g->registry_version_applied = bh__registry_get_version(g->registry);
 		cluster_apply_registry(g->cluster, clock_now_us());
-		crashes_follow_registry(g->crashes, clock_now_us());
+		crashes_apply_registry(g->crashes, clock_now_us());
 	}
 	bh__platform_sync_process_update(platform_sync_get(g->platform_sync), clock_now_us());
 	calls_process_startup_state(g);
