--- a/src/bayhoist-gate/call.c
+++ b/src/bayhoist-gate/call.c
@@ -1,7 +1,7 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
 /* The state machine of one caller's request: matches it with a route, places it, dispatches it and answers
  * the caller. The library's retry_state.c decides whether it may be dispatched again, the planner behind
- * schedulers.c which engines run it; each dispatch and its answer are in sending.c. */
+ * schedulers.c which engines run it; each dispatch and its answer are in dispatch.c. */
 #include "call_internal.h"
 
 #include <string.h>
@@ -106,8 +106,7 @@
 	return g_hash_table_contains(g->calls, c) ? c : NULL;
 }
 
-/* Admits and places a request, once the startup state is complete or no longer waited for. May free the call.
- */
+/* Admits and places a request after the wait for the startup state. May free the call. */
 static void begin_(Call *c)
 {
 	c->state = CALL_ASKING;
@@ -118,7 +117,7 @@
 }
 
 /* Processes a change of the startup state: the configuration, the endpoints or the duties have been read, or
- * a read has failed. Begins the calls in CALL_STARTING unless a part of that state is still on its way. */
+ * a read has failed. Begins the calls in CALL_STARTING unless a part of that state is still being read. */
 void calls_process_startup_state(Gate *g)
 {
 	BH__StartupProgress state;
@@ -448,7 +447,7 @@
 	return MAX((g->stop_at_us - MIN(now_us, g->stop_at_us)) / BH__MS_US, RETRY_SOON_MS);
 }
 
-/* Returns a time from dispatch to end, in microseconds, that the answer hardly exceeds: by the answers that
+/* Returns a time from dispatch to end, in microseconds, that the answer rarely exceeds: by the answers that
  * this node has observed, or, if there are none, by the time after which an endpoint counts as unresponsive
  * plus the time that its engine takes for as many tokens as the caller allows. */
 static uint64_t longest_answer_us_(const Call *c)
@@ -527,8 +526,7 @@
 	fill_backoffs_(c);
 }
 
-/* Lists in the ask the engines from which this node backs off. Called before each time that the ask is sent.
- */
+/* Lists in the ask the engines from which this node backs off. Called whenever the ask is sent. */
 static void fill_backoffs_(Call *c)
 {
 	BH__Ask *a = &c->admission.ask;
@@ -595,8 +593,7 @@
 		abandon_(c, retry_after_ms, BH__ReasonString[reason], "no engine can take the request in time");
 }
 
-/* Processes a grant, which is in the call's admission state. Returns it if the call no longer waits for it.
- */
+/* Processes the grant in the call's admission state. Returns it if the call no longer waits for it. */
 void call_on_grant(Call *c)
 {
 	bh__histogram_add(&c->gate->counters.grant_wait, clock_now_us() - c->asked_us);
--- a/src/bayhoist-gate/call_internal.h
+++ b/src/bayhoist-gate/call_internal.h
@@ -1,5 +1,5 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The state of one caller's request, shared by call.c and sending.c. */
+/* The state of one caller's request, shared by call.c and dispatch.c. */
 #ifndef BAYHOIST_CALL_INTERNAL_H
 #define BAYHOIST_CALL_INTERNAL_H
 
@@ -24,21 +24,20 @@
 	const BH__ServiceSpec *service;
 	const BH__KeyOwner *owner;   /* account of the caller's API key; NULL: none */
 	BH__Fingerprint fingerprint; /* identical for each caller retry of the same request */
-	BH__RetryState retry;        /* retry state */
+	BH__RetryState retry;        /* dispatches so far, and whether another one is allowed */
 	CallState state;
-	CallAdmission admission;  /* admission state */
-	bool queued;              /* the scheduler keeps the ask waiting */
-	bool queued_logged;       /* the queueing has been logged */
-	unsigned unused_grants;   /* number of grants returned unused */
-	uint64_t asked_us;        /* when the last ask was sent, or the last sign of the scheduler received */
-	uint64_t permit_endpoint; /* endpoint that a permit is asked for */
-	uint64_t send_at_us;      /* when the permit allows the dispatch; 0: no permit yet */
-	uint64_t suspected_us;    /* when CALL_SUSPECTED began */
-	uint64_t
-		waited_before_us; /* estimate of how long the caller waited in earlier tries; 0: none or unknown */
-	MemoryHold *memory;   /* memory reserved on helpers; NULL: none */
-	Outbound *out;        /* connection of the current dispatch; NULL: none */
-	uint64_t endpoint_id; /* endpoint of the current or last dispatch */
+	CallAdmission admission;   /* ask to the scheduler and the grant held */
+	bool queued;               /* the scheduler keeps the ask waiting */
+	bool queued_logged;        /* the queueing has been logged */
+	unsigned unused_grants;    /* number of grants returned unused */
+	uint64_t asked_us;         /* when the last ask was sent, or the last sign of the scheduler received */
+	uint64_t permit_endpoint;  /* endpoint that a permit is asked for */
+	uint64_t send_at_us;       /* when the permit allows the dispatch; 0: no permit yet */
+	uint64_t suspected_us;     /* when CALL_SUSPECTED began */
+	uint64_t waited_before_us; /* estimated wait of the caller in earlier tries; 0: none or unknown */
+	MemoryHold *memory;        /* memory reserved on helpers; NULL: none */
+	Outbound *out;             /* connection of the current dispatch; NULL: none */
+	uint64_t endpoint_id;      /* endpoint of the current or last dispatch */
 	uint64_t endpoint_incarnation; /* incarnation of that endpoint, see bh__registry_note_start() */
 	uint64_t sent_us;              /* when the current or last dispatch began */
 	uint32_t pauses;           /* number of gaps between received parts of the current dispatch's answer */
@@ -61,7 +60,7 @@
 void call_act(Call *c, BH__NextAction next);
 void call_set_timer(Call *c, uint64_t now_us);
 
-/* sending.c */
+/* dispatch.c */
 void dispatch_start(Call *c, uint64_t endpoint_id);
 void dispatch_end(Call *c, BH__DispatchEnd end);
 void dispatch_begin_answer(Call *c);
--- a/src/bayhoist-gate/cluster.c
+++ b/src/bayhoist-gate/cluster.c
@@ -269,7 +269,7 @@
 			evtimer_add(c->waiting_tick, &soon);
 }
 
-/* Gives the planners and the asks that wait another chance. */
+/* Processes the deferred asks again, and the asks that wait in the planners. */
 static void on_waiting_tick_(evutil_socket_t fd, short what, void *arg)
 {
 	Cluster *c = arg;
--- a/src/bayhoist-gate/cluster_internal.h
+++ b/src/bayhoist-gate/cluster_internal.h
@@ -27,7 +27,7 @@
 	BH__ResponseMonitor scheduler_monitor; /* detects a scheduler that leaves asks unanswered */
 } Service;
 
-/* The exchange of endpoint signals with other nodes. */
+/* The relay of endpoint signals to and from other nodes. */
 typedef struct {
 	BH__SignalRelayPort port; /* first member: callbacks cast it to the enclosing structure */
 	Cluster *cluster;
@@ -91,7 +91,7 @@
 bool limits_process_message(Cluster *c, const BH__Message *m, uint64_t now_us);
 void limits_write_status(const Cluster *c, struct evbuffer *out);
 
-/* early_asks.c */
+/* deferred_asks.c */
 void schedulers_process_ask(Cluster *c, const BH__Ask *ask, uint64_t now_us);
 void schedulers_process_deferred(Cluster *c, uint64_t now_us);
 void schedulers_drop_deferred(Cluster *c, uint64_t ask_id);
--- a/src/bayhoist-gate/crashes.c
+++ b/src/bayhoist-gate/crashes.c
@@ -34,10 +34,10 @@
 };
 
 static void on_send_(BH__CrashPort *port, uint64_t node_id, BH__Message *m);
-static bool on_find_endpoint_(BH__CrashPort *port, uint64_t endpoint_id, uint64_t *born_ms);
+static bool on_find_endpoint_(BH__CrashPort *port, uint64_t endpoint_id, uint64_t *started_ms);
 static void on_probe_(BH__CrashPort *port, uint64_t endpoint_id);
 static void on_dialled_(void *probe, DialEnd end);
-static void on_changed_(BH__CrashPort *port, const BH__QuarantineEntry *e, bool judged);
+static void on_changed_(BH__CrashPort *port, const BH__QuarantineEntry *e, bool evaluated);
 static void log_entry_(const Crashes *c, const char *what, const BH__QuarantineEntry *e);
 static void set_timer_(Crashes *c);
 static void on_timer_(evutil_socket_t fd, short what, void *arg);
@@ -98,7 +98,7 @@
 	bh__quarantine_note_refusal(bh__crash_watch_get_quarantine(c->watch));
 }
 
-/* Reports that an endpoint aborted a request, or, if `helped`, that an endpoint has gone which was only a
+/* Reports that an endpoint aborted a request, or, if `was_helper`, that an endpoint has gone which was only a
  * helper for it. */
 void crashes_note_aborted(Crashes *c, const char *service, uint64_t endpoint_id, const BH__Fingerprint *f,
 						  bool was_helper)
@@ -132,14 +132,14 @@
 	cluster_send(((Crashes *)port)->gate->cluster, node_id, m);
 }
 
-/* Returns true if the endpoint is registered and is not about to leave. Stores its start time in `born_ms`; 0
- * if it is not registered. */
-static bool on_find_endpoint_(BH__CrashPort *port, uint64_t endpoint_id, uint64_t *born_ms)
+/* Returns true if the endpoint is registered and is not about to leave. Stores its start time in
+ * `started_ms`; 0 if it is not registered. */
+static bool on_find_endpoint_(BH__CrashPort *port, uint64_t endpoint_id, uint64_t *started_ms)
 {
 	const Gate *g = ((Crashes *)port)->gate;
 	const BH__RegisteredEndpoint *e = bh__registry_find(g->registry, endpoint_id);
 
-	*born_ms = e ? e->entry.born_ms : 0;
+	*started_ms = e ? e->entry.born_ms : 0;
 	return e && bh__registered_endpoint_is_active(e, clock_now_us());
 }
 
@@ -209,14 +209,14 @@
 	set_timer_(c);
 }
 
-/* Handles a change of the quarantine state of a request. `judged` tells whether this node made the decision
- * rather than received it. */
-static void on_changed_(BH__CrashPort *port, const BH__QuarantineEntry *e, bool judged)
+/* Handles a change of the quarantine state of a request. `evaluated` tells whether this node made the
+ * decision rather than received it. */
+static void on_changed_(BH__CrashPort *port, const BH__QuarantineEntry *e, bool evaluated)
 {
 	Crashes *c = (Crashes *)port;
 
-	log_entry_(c, judged ? "judged" : "learnt", e);
-	if (judged && e->state != BH__QUARANTINE_SUSPECTED && c->unrecorded->len < UNRECORDED_MAX)
+	log_entry_(c, evaluated ? "judged" : "learnt", e);
+	if (evaluated && e->state != BH__QUARANTINE_SUSPECTED && c->unrecorded->len < UNRECORDED_MAX)
 		g_array_append_val(c->unrecorded, *e);
 	if (e->state == BH__QUARANTINE_HELD)
 		calls_process_quarantined(c->gate, &e->fingerprint);
--- a/src/bayhoist-gate/deferred_asks.c
+++ b/src/bayhoist-gate/deferred_asks.c
@@ -1,7 +1,6 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
 /* Deferred asks: admission requests that this node receives while it may not schedule their service, because
- * it does not know the endpoints yet, is taking the service over, or does not hold the duty in its own view.
- */
+ * it does not know the endpoints yet, is taking the service over, or does not hold the duty in its view. */
 #include "clock.h"
 #include "cluster_internal.h"
 
--- a/src/bayhoist-gate/dispatch.c
+++ b/src/bayhoist-gate/dispatch.c
@@ -17,7 +17,7 @@
 
 static void log_dispatch_(const Call *c, const BH__RegisteredEndpoint *e);
 static void write_request_(Call *c, const BH__RegisteredEndpoint *e, struct evbuffer *out);
-static void fill_helpers_(const Call *c, DispatchMeta *s);
+static void fill_helpers_(const Call *c, DispatchMeta *meta);
 static void on_head_(void *ctx, const OutboundHead *head);
 static void on_body_(void *ctx, const char *data, size_t len);
 static void note_signals_(const Call *c);
@@ -35,7 +35,7 @@
 static const OutboundCallbacks Callbacks_ = {.on_head = on_head_, .on_body = on_body_, .on_end = on_end_};
 
 /* Dispatches the request to an endpoint, which must be registered. Resets the state of the last dispatch;
- * what has come of an earlier answer's event stream stays, so that it can be resumed. */
+ * the received part of an earlier answer's event stream is kept, so that the stream can be resumed. */
 void dispatch_start(Call *c, uint64_t endpoint_id)
 {
 	Gate *g = c->gate;
@@ -89,16 +89,16 @@
 	const InboundRequest *r = c->request;
 	bool has_body = r->body->len || !strcmp(r->method, "POST") || !strcmp(r->method, "PUT") ||
 					!strcmp(r->method, "PATCH");
-	DispatchMeta s = {.endpoint = e->entry.id,
-					  .account = c->owner ? c->owner->name : NULL,
-					  .last_event_id = c->events.last_id[0] ? c->events.last_id : r->meta.last_event_id,
-					  .time_left_us = c->retry.deadline_us - c->sent_us,
-					  .urgency = -1};
+	DispatchMeta meta = {.endpoint = e->entry.id,
+						 .account = c->owner ? c->owner->name : NULL,
+						 .last_event_id = c->events.last_id[0] ? c->events.last_id : r->meta.last_event_id,
+						 .time_left_us = c->retry.deadline_us - c->sent_us,
+						 .urgency = -1};
 
-	fill_helpers_(c, &s);
+	fill_helpers_(c, &meta);
 	evbuffer_add_printf(out, "%s %s HTTP/1.1\r\n", r->method, r->target);
 	evbuffer_add(out, r->headers->str, r->headers->len);
-	c->gate->port->write_dispatch_headers(out, &r->meta, &s);
+	c->gate->port->write_dispatch_headers(out, &r->meta, &meta);
 	if (has_body)
 		evbuffer_add_printf(out, "Content-Length: %u\r\n", r->body->len);
 	evbuffer_add(out, "\r\n", 2);
@@ -107,7 +107,7 @@
 
 /* Lists the grant's helpers, which prefill parts of the prompt, except those that take no work any more.
  * Helpers with reserved memory come first, because their memory is filled in this order. */
-static void fill_helpers_(const Call *c, DispatchMeta *s)
+static void fill_helpers_(const Call *c, DispatchMeta *meta)
 {
 	const BH__Grant *g = &c->admission.grant;
 
@@ -119,10 +119,10 @@
 			if ((g->member[i].kv_bytes > 0) != (with_memory == 1) || !e ||
 				!call_endpoint_is_usable(c, e->endpoint_id))
 				continue;
-			s->helper[s->helper_count].address = e->entry.address;
-			s->helper[s->helper_count].memory_id =
+			meta->helper[meta->helper_count].address = e->entry.address;
+			meta->helper[meta->helper_count].memory_id =
 				c->memory ? memory_hold_get_id(c->memory, e->endpoint_id) : NULL;
-			s->helper_count++;
+			meta->helper_count++;
 		}
 	}
 }
--- a/src/bayhoist-gate/gate.h
+++ b/src/bayhoist-gate/gate.h
@@ -42,7 +42,7 @@
 	uint64_t dispatches;                            /* requests sent to endpoints */
 	uint64_t dispatch_ends[BH__DISPATCH_END_COUNT]; /* dispatches ended, by result */
 	uint64_t repeats;                               /* decisions to dispatch a request again */
-	uint64_t resumes;                               /* those of them that resume a stream */
+	uint64_t resumes;                               /* decisions to dispatch again that resume a stream */
 	uint64_t local_grants;      /* placements by this node because the scheduler did not answer */
 	uint64_t denied_keys;       /* requests refused for an unknown or missing API key */
 	uint64_t no_route;          /* requests that match no route */
@@ -69,7 +69,7 @@
 	struct event_base *base;
 	void *binding;               /* state of the platform's binding */
 	Cluster *cluster;            /* membership, schedulers and messages between nodes */
-	PlatformSync *platform_sync; /* platform sync */
+	PlatformSync *platform_sync; /* how this node shares the platform's state with other nodes */
 	Crashes *crashes;            /* crash reports and quarantine */
 	BH__Routing *routing;        /* configuration in use; NULL: none yet */
 	char *routing_text;          /* text that `routing` was decoded from */
@@ -257,10 +257,10 @@
 
 /* platform_sync.c */
 PlatformSync *platform_sync_new(Gate *g);
-void platform_sync_delete(PlatformSync *l);
-BH__PlatformSync *platform_sync_get(const PlatformSync *l);
-void platform_sync_apply_settings(PlatformSync *l);
-void platform_sync_write_status(const PlatformSync *l, struct evbuffer *out);
+void platform_sync_delete(PlatformSync *p);
+BH__PlatformSync *platform_sync_get(const PlatformSync *p);
+void platform_sync_apply_settings(PlatformSync *p);
+void platform_sync_write_status(const PlatformSync *p, struct evbuffer *out);
 
 /* halls.c */
 void halls_log_changes(Gate *g);
--- a/src/bayhoist-gate/platform_sync.c
+++ b/src/bayhoist-gate/platform_sync.c
@@ -7,8 +7,8 @@
 #include "clock.h"
 #include "log.h"
 
-#define LOGGED_ENDPOINTS_MAX                                                                                 \
-	4u /* endpoints that a log line names, for changed endpoints and for removed endpoints each */
+/* Maximum number of changed endpoints that a log line names, and of removed ones. */
+#define LOGGED_ENDPOINTS_MAX 4u
 
 /* Fraction of the store's read capacity that all nodes together use for platform reads while the store is
  * unavailable: 20 reads/s for a store with a capacity of 2,000 reads/s. */
@@ -50,34 +50,34 @@
 /* Creates the platform sync of a gateway. The cluster must have been started. */
 PlatformSync *platform_sync_new(Gate *g)
 {
-	PlatformSync *l = g_new0(PlatformSync, 1);
+	PlatformSync *p = g_new0(PlatformSync, 1);
 	BH__PlatformSyncOptions options = options_(g);
 
-	l->port = Port_;
-	l->gate = g;
-	l->sync = bh__platform_sync_new(&l->port, &options, cluster_get_members(g->cluster), g->registry);
-	return l;
+	p->port = Port_;
+	p->gate = g;
+	p->sync = bh__platform_sync_new(&p->port, &options, cluster_get_members(g->cluster), g->registry);
+	return p;
 }
 
-void platform_sync_delete(PlatformSync *l)
+void platform_sync_delete(PlatformSync *p)
 {
-	if (!l)
+	if (!p)
 		return;
-	bh__platform_sync_delete(l->sync);
-	g_free(l);
+	bh__platform_sync_delete(p->sync);
+	g_free(p);
 }
 
-BH__PlatformSync *platform_sync_get(const PlatformSync *l)
+BH__PlatformSync *platform_sync_get(const PlatformSync *p)
 {
-	return l->sync;
+	return p->sync;
 }
 
 /* Applies changed settings of the gateway. */
-void platform_sync_apply_settings(PlatformSync *l)
+void platform_sync_apply_settings(PlatformSync *p)
 {
-	BH__PlatformSyncOptions options = options_(l->gate);
+	BH__PlatformSyncOptions options = options_(p->gate);
 
-	bh__platform_sync_set_options(l->sync, &options);
+	bh__platform_sync_set_options(p->sync, &options);
 }
 
 /* Returns the options of platform sync for the gateway's settings. */
@@ -163,10 +163,10 @@
 
 /* Writes, as metrics, the age and the store version of this node's endpoint table, for how long it has been
  * out of sync, when it next reads the platform itself, and its sync source. */
-void platform_sync_write_status(const PlatformSync *l, struct evbuffer *out)
+void platform_sync_write_status(const PlatformSync *p, struct evbuffer *out)
 {
-	BH__PlatformSyncStatus s = bh__platform_sync_get_status(l->sync);
-	const BH__MemberInfo *info = bh__members_find(cluster_get_members(l->gate->cluster), s.source_node);
+	BH__PlatformSyncStatus s = bh__platform_sync_get_status(p->sync);
+	const BH__MemberInfo *info = bh__members_find(cluster_get_members(p->gate->cluster), s.source_node);
 	uint64_t now_us = clock_now_us();
 	const struct {
 		const char *name;
--- a/src/bayhoist-gate/port.h
+++ b/src/bayhoist-gate/port.h
@@ -76,7 +76,7 @@
 	HeaderAction (*read_request_header)(RequestMeta *meta, const char *name, const char *value);
 	/* Writes the headers that the binding adds to a dispatched request. */
 	void (*write_dispatch_headers)(struct evbuffer *out, const RequestMeta *meta,
-								   const DispatchMeta *sending);
+								   const DispatchMeta *dispatch);
 	/* Reads an endpoint's header into `meta`, and returns what the gateway does with the header. */
 	HeaderAction (*read_answer_header)(AnswerMeta *meta, const char *name, const char *value);
 	/* Writes the headers of an answer that the gateway gives itself. `retry_after_ms`: when the caller may
@@ -89,8 +89,7 @@
 	 * a log line, on failure. */
 	bool (*start)(Gate *g);
 	/* Takes a configuration that another node read from the platform. `platform_read_us`: when the platform
-	 * read that showed it to be the newest was begun. Returns false, with a log line, if the text is invalid.
-	 */
+	 * read that showed it to be the newest began. Returns false, with a log line, if the text is invalid. */
 	bool (*take_configuration)(Gate *g, const char *text, uint64_t platform_read_us);
 	/* Ends all work for the gateway and frees the binding's state. */
 	void (*stop)(Gate *g);
--- a/src/bayhoist-gate/schedulers.c
+++ b/src/bayhoist-gate/schedulers.c
@@ -362,8 +362,8 @@
 }
 
 /* Records that a node left an ask unanswered. A scheduler that leaves several unanswered is suspected at
- * once: the membership probes take seconds, in which all nodes would decide by themselves, each as if it used
- * the engines alone. */
+ * once: the membership probes take seconds, in which all nodes would decide by themselves, each as if no
+ * other node used the engines. */
 static void record_unanswered_(Cluster *c, Service *s, uint64_t node_id)
 {
 	const BH__MemberInfo *info = bh__members_find(c->members, node_id);
--- a/src/bayhoist-gate/signals.c
+++ b/src/bayhoist-gate/signals.c
@@ -107,7 +107,7 @@
 	gate_note_registry(g, 0);
 }
 
-/* Creates the exchange of signals with other nodes. Membership must have been started. */
+/* Creates the relay of signals to and from other nodes. Membership must have been started. */
 Signals *signals_new(Cluster *c)
 {
 	Signals *s = g_new0(Signals, 1);
