--- a/src/bayhoist-gate/planner_port.c
+++ b/src/bayhoist-gate/planner_port.c
@@ -41,7 +41,7 @@
 	cluster_send(((Service *)port)->cluster, g->node_id, &m);
 }
 
-/* Sends a refusal to the node that asked. `retry_after_ms`: when the caller may come back. */
+/* Sends a refusal to the node that asked. `retry_after_ms`: when the caller may retry. */
 static void on_refuse_(BH__PlannerPort *port, const BH__Ask *ask, BH__Reason reason, uint64_t retry_after_ms)
 {
 	BH__Message m = {.type = BH__MESSAGE_REFUSE};
