--- a/include/bayhoist/config.h
+++ b/include/bayhoist/config.h
@@ -46,7 +46,7 @@
 /* Synchronization with peers: a node sends the hashes of its chunks and receives those chunks that differ. */
 void bh__config_get_chunk_hashes(const BH__Config *c, uint64_t hash[BH__CHUNK_COUNT]);
 const char *bh__config_get_chunk(const BH__Config *c, unsigned chunk);
-bool bh__config_install(BH__Config *c, const char *head, const char *const chunks[BH__CHUNK_COUNT],
+bool bh__config_install(BH__Config *c, const char *head_text, const char *const chunks[BH__CHUNK_COUNT],
 						GError **error);
 
 #endif
--- a/include/bayhoist/idempotency.h
+++ b/include/bayhoist/idempotency.h
@@ -41,15 +41,15 @@
 typedef struct BH__IdempotencyTable BH__IdempotencyTable;
 
 BH__IdempotencyTable *bh__idempotency_new(uint32_t max_entries, size_t max_answer_bytes);
-void bh__idempotency_delete(BH__IdempotencyTable *o);
-uint64_t bh__idempotency_issue(BH__IdempotencyTable *o);
-BH__IdempotencyState bh__idempotency_claim(BH__IdempotencyTable *o, uint64_t account_id, const char *key,
+void bh__idempotency_delete(BH__IdempotencyTable *t);
+uint64_t bh__idempotency_issue(BH__IdempotencyTable *t);
+BH__IdempotencyState bh__idempotency_claim(BH__IdempotencyTable *t, uint64_t account_id, const char *key,
 										   uint64_t body_hash, uint64_t sequence, uint64_t *entry_id,
 										   BH__IdempotencyOutcome *outcome);
-void bh__idempotency_finish(BH__IdempotencyTable *o, uint64_t entry_id,
+void bh__idempotency_finish(BH__IdempotencyTable *t, uint64_t entry_id,
 							const BH__IdempotencyOutcome *outcome);
-uint64_t bh__idempotency_get_low_watermark(const BH__IdempotencyTable *o);
-uint32_t bh__idempotency_get_count(const BH__IdempotencyTable *o);
+uint64_t bh__idempotency_get_low_watermark(const BH__IdempotencyTable *t);
+uint32_t bh__idempotency_get_count(const BH__IdempotencyTable *t);
 bool bh__stamp_parse(const char *text, BH__Stamp *stamp);
 void bh__stamp_write(const BH__Stamp *stamp, char out[BH__STAMP_LEN]);
 
--- a/include/bayhoist/memory_budget.h
+++ b/include/bayhoist/memory_budget.h
@@ -13,8 +13,8 @@
 	uint64_t refusals;      /* requests refused because the budget was exhausted */
 } BH__MemoryBudget;
 
-size_t bh__memory_budget_get_answer_max(const BH__MemoryBudget *r, unsigned connections, size_t max);
-bool bh__memory_budget_reserve_request(BH__MemoryBudget *r, size_t len);
-void bh__memory_budget_release_request(BH__MemoryBudget *r, size_t len);
+size_t bh__memory_budget_get_answer_max(const BH__MemoryBudget *b, unsigned connections, size_t max);
+bool bh__memory_budget_reserve_request(BH__MemoryBudget *b, size_t len);
+void bh__memory_budget_release_request(BH__MemoryBudget *b, size_t len);
 
 #endif
--- a/include/bayhoist/message.h
+++ b/include/bayhoist/message.h
@@ -207,8 +207,7 @@
 		} ping_req;
 		struct {
 			BH__MemberInfo self;
-			uint64_t
-				partition_hash[BH__MEMBER_PARTITIONS]; /* hash of the sender's live members, by partition */
+			uint64_t partition_hash[BH__MEMBER_PARTITIONS]; /* of the live members, by partition */
 		} join;
 		struct {
 			/* `member` lists all members of `parts`; a receiver that knows more of them replies with those */
@@ -241,9 +240,9 @@
 			uint64_t grant_id; /* in a withdraw message, the id of the ask */
 			BH__ReleaseKind kind;
 			uint64_t failed_endpoint;
-			uint64_t iteration_us; /* pass messages only: duration of the iteration that has ended; else 0 */
+			uint64_t iteration_us; /* in an iteration message, duration of the ended iteration; else 0 */
 			uint64_t backoff_us;   /* backoff that the failed engine has asked for; 0: none */
-		} release;                 /* also progress, pass, withdraw and queued messages */
+		} release;                 /* also progress, iteration, withdraw and queued messages */
 		struct {
 			uint64_t pool_id;
 			bool full;        /* `grant` holds complete grants; otherwise only their ids are set */
@@ -259,7 +258,7 @@
 			uint64_t revision;
 			bool has_hashes;
 			uint64_t chunk_hash[BH__CHUNK_COUNT];
-		} config_ask; /* also a config-news message, which has no hashes */
+		} config_ask; /* also a configuration update message, which has no hashes */
 		struct {
 			char *head;
 			uint32_t count;
--- a/include/bayhoist/platform_sync.h
+++ b/include/bayhoist/platform_sync.h
@@ -74,8 +74,7 @@
 	BH__StoreVersion store_version; /* version of the store as of which they are known */
 	uint64_t out_of_sync_since_us;  /* when the node began to search for a source; 0: it does not search */
 	uint64_t source_node;           /* id of the node's source; its own id: it reads the platform */
-	uint64_t
-		next_own_read_us; /* time of its next own platform read while it searches; 0: it does not search */
+	uint64_t next_own_read_us;      /* time of its next own read while it searches; 0: not searching */
 } BH__PlatformSyncStatus;
 
 typedef struct {
@@ -90,18 +89,18 @@
 
 BH__PlatformSync *bh__platform_sync_new(BH__PlatformSyncPort *port, const BH__PlatformSyncOptions *options,
 										const BH__Members *members, BH__Registry *registry);
-void bh__platform_sync_delete(BH__PlatformSync *l);
-void bh__platform_sync_set_options(BH__PlatformSync *l, const BH__PlatformSyncOptions *options);
-void bh__platform_sync_process_tick(BH__PlatformSync *l, uint64_t now_us);
-void bh__platform_sync_process_ask(BH__PlatformSync *l, const BH__Message *m, uint64_t now_us);
-void bh__platform_sync_process_reader(BH__PlatformSync *l, const BH__Message *m, uint64_t now_us);
-void bh__platform_sync_process_answer(BH__PlatformSync *l, const BH__Message *m, uint64_t now_us);
-void bh__platform_sync_process_update(BH__PlatformSync *l, uint64_t now_us);
-void bh__platform_sync_note_read_answered(BH__PlatformSync *l, uint64_t sent_us, uint64_t now_us);
-void bh__platform_sync_note_read_failed(BH__PlatformSync *l, uint64_t sent_us, uint64_t timeout_us,
+void bh__platform_sync_delete(BH__PlatformSync *s);
+void bh__platform_sync_set_options(BH__PlatformSync *s, const BH__PlatformSyncOptions *options);
+void bh__platform_sync_process_tick(BH__PlatformSync *s, uint64_t now_us);
+void bh__platform_sync_process_ask(BH__PlatformSync *s, const BH__Message *ask, uint64_t now_us);
+void bh__platform_sync_process_reader(BH__PlatformSync *s, const BH__Message *m, uint64_t now_us);
+void bh__platform_sync_process_answer(BH__PlatformSync *s, const BH__Message *m, uint64_t now_us);
+void bh__platform_sync_process_update(BH__PlatformSync *s, uint64_t now_us);
+void bh__platform_sync_note_read_answered(BH__PlatformSync *s, uint64_t sent_us, uint64_t now_us);
+void bh__platform_sync_note_read_failed(BH__PlatformSync *s, uint64_t sent_us, uint64_t timeout_us,
 										uint64_t now_us);
-BH__PlatformSyncStatus bh__platform_sync_get_status(const BH__PlatformSync *l);
-uint64_t bh__platform_sync_get_as_of_us(const BH__PlatformSync *l);
-uint64_t bh__platform_sync_get_gone_at_us(const BH__PlatformSync *l, uint64_t now_us);
+BH__PlatformSyncStatus bh__platform_sync_get_status(const BH__PlatformSync *s);
+uint64_t bh__platform_sync_get_as_of_us(const BH__PlatformSync *s);
+uint64_t bh__platform_sync_get_gone_at_us(const BH__PlatformSync *s, uint64_t now_us);
 
 #endif
--- a/include/bayhoist/read_schedule.h
+++ b/include/bayhoist/read_schedule.h
@@ -17,7 +17,7 @@
 } BH__ReadSchedule;
 
 uint64_t bh__read_schedule_get_max_age_us(uint64_t bound_us, uint64_t period_us, bool reads_itself);
-bool bh__read_schedule_process(BH__ReadSchedule *l, uint64_t period_us, uint64_t answered_us, bool steady,
+bool bh__read_schedule_process(BH__ReadSchedule *s, uint64_t period_us, uint64_t answered_us, bool steady,
 							   uint64_t now_us);
 
 #endif
--- a/include/bayhoist/registry.h
+++ b/include/bayhoist/registry.h
@@ -3,7 +3,7 @@
  * this node observes in using it, and selects an endpoint for services without a planner. An endpoint may
  * restart under the same id, which discards all state of its earlier incarnation; an address may reappear
  * under another id. Each endpoint update carries the version of the store's history as of which it holds
- * (place.h). */
+ * (store_version.h). */
 #ifndef BAYHOIST_REGISTRY_H
 #define BAYHOIST_REGISTRY_H
 
@@ -57,14 +57,13 @@
 	uint64_t since_us; /* when this node received the latest change of `draining`; not sent to other nodes */
 	uint64_t ends_at_us; /* when the drain ends unless it is written again; 0: it has no end; not sent to
 							other nodes */
-	BH__StoreVersion
-		ends_version; /* store version as of which the drain was missing; not sent to other nodes */
+	BH__StoreVersion ends_version; /* store version without the drain; not sent to other nodes */
 } BH__HallDrain;
 
 /* Signals that the current incarnation of an endpoint sent in its responses, and which nodes this node has
  * notified. The history of the endpoint records that it is leaving. */
 typedef struct {
-	bool announced_leaving;         /* the endpoint told this node that it is leaving */
+	bool announced_leaving;         /* the endpoint has announced that it is leaving */
 	uint64_t leaving_notified_node; /* home node that this node has notified of the leaving; 0: none */
 	BH__AdvertisedLimit advertised; /* limit that the endpoint advertises, as known to this node */
 	uint64_t limit_notified_us;     /* when this node last notified its home node of the limit; 0: never */
@@ -110,9 +109,8 @@
 typedef struct {
 	uint64_t endpoint_id;
 	BH__EndpointHistory history;
-	BH__StoreVersion
-		merged_version; /* store version with which the last change was merged; not sent to other nodes */
-	BH__EndpointSignals signals; /* not sent to other nodes */
+	BH__StoreVersion merged_version; /* store version of the last merged change; not sent to other nodes */
+	BH__EndpointSignals signals;     /* not sent to other nodes */
 } BH__EndpointDeparture;
 
 typedef struct BH__Registry BH__Registry;
@@ -134,16 +132,16 @@
 void bh__registry_put_departure(BH__Registry *r, const BH__EndpointDeparture *d, BH__StoreVersion as_of);
 bool bh__registry_note_leaving(BH__Registry *r, uint64_t endpoint_id, uint64_t born_ms);
 void bh__registry_retain_only(BH__Registry *r, GHashTable *ids, BH__StoreVersion as_of, uint64_t gone_at_us);
-bool bh__registry_list_changes(const BH__Registry *r, BH__StoreVersion since, uint64_t now_us, GArray *facts,
-							   GArray *departures);
-void bh__registry_add_record(const BH__Registry *r, unsigned index, uint64_t now_us, GArray *facts);
+bool bh__registry_list_changes(const BH__Registry *r, BH__StoreVersion since, uint64_t now_us,
+							   GArray *records, GArray *departures);
+void bh__registry_add_record(const BH__Registry *r, unsigned index, uint64_t now_us, GArray *records);
 void bh__registry_process_tick(BH__Registry *r, uint64_t now_us);
 BH__RegisteredEndpoint *bh__registry_find(const BH__Registry *r, uint64_t endpoint_id);
 BH__RegisteredEndpoint *bh__registry_find_address(const BH__Registry *r, const char *address);
 unsigned bh__registry_get_count(const BH__Registry *r);
 BH__RegisteredEndpoint *bh__registry_get(const BH__Registry *r, unsigned index);
 void bh__registry_set_cold_rate(BH__Registry *r, const char *service, double per_s, uint64_t now_us);
-bool bh__registered_endpoint_receive_limit(BH__RegisteredEndpoint *e, const BH__AdvertisedLimit *told,
+bool bh__registered_endpoint_receive_limit(BH__RegisteredEndpoint *e, const BH__AdvertisedLimit *update,
 										   uint64_t now_us);
 bool bh__registry_has_unlimited(const BH__Registry *r, const char *service, uint64_t now_us);
 uint64_t bh__registry_get_available_us(const BH__Registry *r, const char *service, uint64_t now_us);
--- a/include/bayhoist/startup_state.h
+++ b/include/bayhoist/startup_state.h
@@ -24,19 +24,18 @@
 	uint64_t configuration_us; /* when the configuration was first loaded; 0: not yet */
 	uint64_t endpoints_us;     /* when the endpoints were first loaded; 0: not yet */
 	uint64_t duties_us; /* when the record of duties was first loaded, or its read failed; 0: not yet */
-	uint64_t
-		configuration_asked_us; /* when the configuration was last requested; 0: not yet, or that failed */
+	uint64_t configuration_asked_us;   /* when the configuration was last requested; 0: never, or it failed */
 	uint64_t configuration_timeout_us; /* time after that request by which it is answered or fails */
 } BH__StartupState;
 
-void bh__startup_state_init(BH__StartupState *k, uint64_t now_us);
-void bh__startup_state_note_asked(BH__StartupState *k, uint64_t timeout_us, uint64_t now_us);
-void bh__startup_state_note_failed(BH__StartupState *k);
-void bh__startup_state_note_configuration(BH__StartupState *k, uint64_t now_us);
-void bh__startup_state_note_endpoints(BH__StartupState *k, uint64_t now_us);
-void bh__startup_state_note_duties(BH__StartupState *k, uint64_t now_us);
-BH__StartupProgress bh__startup_state_get_progress(const BH__StartupState *k, uint64_t now_us);
-uint64_t bh__startup_state_get_wait_until_us(const BH__StartupState *k);
-bool bh__startup_state_has_endpoints(const BH__StartupState *k);
+void bh__startup_state_init(BH__StartupState *s, uint64_t now_us);
+void bh__startup_state_note_asked(BH__StartupState *s, uint64_t timeout_us, uint64_t now_us);
+void bh__startup_state_note_failed(BH__StartupState *s);
+void bh__startup_state_note_configuration(BH__StartupState *s, uint64_t now_us);
+void bh__startup_state_note_endpoints(BH__StartupState *s, uint64_t now_us);
+void bh__startup_state_note_duties(BH__StartupState *s, uint64_t now_us);
+BH__StartupProgress bh__startup_state_get_progress(const BH__StartupState *s, uint64_t now_us);
+uint64_t bh__startup_state_get_wait_until_us(const BH__StartupState *s);
+bool bh__startup_state_has_endpoints(const BH__StartupState *s);
 
 #endif
--- a/include/bayhoist/store_version.h
+++ b/include/bayhoist/store_version.h
@@ -17,7 +17,7 @@
 int bh__store_version_compare(BH__StoreVersion a, BH__StoreVersion b);
 bool bh__store_version_is_after(BH__StoreVersion a, BH__StoreVersion b);
 BH__StoreVersion bh__store_version_max(BH__StoreVersion a, BH__StoreVersion b);
-bool bh__store_version_is_zero(BH__StoreVersion p);
-const char *bh__store_version_write(BH__StoreVersion p, char text[BH__STORE_VERSION_TEXT_LEN]);
+bool bh__store_version_is_zero(BH__StoreVersion v);
+const char *bh__store_version_write(BH__StoreVersion v, char text[BH__STORE_VERSION_TEXT_LEN]);
 
 #endif
--- a/src/libbayhoist/attempt.c
+++ b/src/libbayhoist/attempt.c
@@ -302,7 +302,7 @@
 }
 
 /* Ends a failed attempt and plans a retry on another endpoint, or ends the request. `kind` is reported to the
- * scheduler; `may_have_run` tells whether the endpoint may have run the request. */
+ * scheduler; `may_have_run` is true if the endpoint may have run the request. */
 static void abandon_attempt_(BH__Node *n, BH__RequestEntry *e, BH__ReleaseKind kind, bool may_have_run)
 {
 	const BH__GrantMember *member;
@@ -320,7 +320,8 @@
 	retry_(n, e, BH__REASON_ENDPOINT_FAILED);
 }
 
-/* Tells engines to drop what they hold for the attempt: all but the last, and the last too if `with_last`. */
+/* Cancels the attempt at all its engines but the last, and at the last too if `with_last`, so that they free
+ * what they hold for it. */
 void bh__attempt_cancel(BH__Node *n, const BH__RequestEntry *e, bool with_last)
 {
 	for (unsigned i = 0; i + !with_last < count_members_(e); i++) {
--- a/src/libbayhoist/idempotency.c
+++ b/src/libbayhoist/idempotency.c
@@ -35,19 +35,19 @@
 };
 
 static void free_entry_(gpointer entry);
-static void remove_(BH__IdempotencyTable *o, Entry_ *e);
-static void evict_oldest_(BH__IdempotencyTable *o);
+static void remove_(BH__IdempotencyTable *t, Entry_ *e);
+static void evict_oldest_(BH__IdempotencyTable *t);
 
 /* Returns an empty table that keeps up to `max_entries` entries and `max_answer_bytes` of answers. The caller
  * frees it with bh__idempotency_delete(). */
 BH__IdempotencyTable *bh__idempotency_new(uint32_t max_entries, size_t max_answer_bytes)
 {
-	BH__IdempotencyTable *o = g_new0(BH__IdempotencyTable, 1);
-	o->max_entries = max_entries;
-	o->max_answer_bytes = max_answer_bytes;
-	o->entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_entry_);
-	g_queue_init(&o->finished);
-	return o;
+	BH__IdempotencyTable *t = g_new0(BH__IdempotencyTable, 1);
+	t->max_entries = max_entries;
+	t->max_answer_bytes = max_answer_bytes;
+	t->entries = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_entry_);
+	g_queue_init(&t->finished);
+	return t;
 }
 
 /* Frees an entry of the hash table with its answer. */
@@ -59,27 +59,27 @@
 }
 
 /* Frees the table and its entries. */
-void bh__idempotency_delete(BH__IdempotencyTable *o)
+void bh__idempotency_delete(BH__IdempotencyTable *t)
 {
-	g_hash_table_unref(o->entries);
-	g_free(o);
+	g_hash_table_unref(t->entries);
+	g_free(t);
 }
 
 /* Issues a stamp and returns its sequence, which is above all that this table has issued. */
-uint64_t bh__idempotency_issue(BH__IdempotencyTable *o)
+uint64_t bh__idempotency_issue(BH__IdempotencyTable *t)
 {
-	return ++o->last_issued;
+	return ++t->last_issued;
 }
 
 /* Claims an idempotency key for an account and returns the state of the request. On BH__IDEMPOTENCY_RUN the
  * caller must run the request and then call bh__idempotency_finish() with `*entry_id`. On
  * BH__IDEMPOTENCY_FINISHED `*outcome` is set and is valid until the next call. */
-BH__IdempotencyState bh__idempotency_claim(BH__IdempotencyTable *o, uint64_t account_id, const char *key,
+BH__IdempotencyState bh__idempotency_claim(BH__IdempotencyTable *t, uint64_t account_id, const char *key,
 										   uint64_t body_hash, uint64_t sequence, uint64_t *entry_id,
 										   BH__IdempotencyOutcome *outcome)
 {
 	uint64_t id = bh__hash_pair(account_id, bh__hash_name(key));
-	Entry_ *e = g_hash_table_lookup(o->entries, &id);
+	Entry_ *e = g_hash_table_lookup(t->entries, &id);
 
 	if (e && e->body_hash != body_hash)
 		return BH__IDEMPOTENCY_KEY_REUSED;
@@ -89,9 +89,9 @@
 		*outcome = e->outcome;
 		return BH__IDEMPOTENCY_FINISHED;
 	}
-	if (sequence <= o->low_watermark)
+	if (sequence <= t->low_watermark)
 		return BH__IDEMPOTENCY_EVICTED;
-	if (sequence > o->last_issued) /* not issued by this boot */
+	if (sequence > t->last_issued) /* not issued by this boot */
 		return BH__IDEMPOTENCY_FOREIGN_STAMP;
 	e = g_new0(Entry_, 1);
 	e->id = id;
@@ -99,7 +99,7 @@
 	e->sequence = sequence;
 	e->running = true;
 	e->link.data = e;
-	g_hash_table_insert(o->entries, &e->id, e);
+	g_hash_table_insert(t->entries, &e->id, e);
 	*entry_id = id;
 	return BH__IDEMPOTENCY_RUN;
 }
@@ -107,66 +107,65 @@
 /* Records the outcome of a claimed request and evicts the oldest outcomes until the table is within its
  * bounds. A request that did not run loses its entry, so that its key can be claimed again. An answer above a
  * sixteenth of the table's bytes for answers is not kept. */
-void bh__idempotency_finish(BH__IdempotencyTable *o, uint64_t entry_id, const BH__IdempotencyOutcome *outcome)
+void bh__idempotency_finish(BH__IdempotencyTable *t, uint64_t entry_id, const BH__IdempotencyOutcome *outcome)
 {
-	Entry_ *e = g_hash_table_lookup(o->entries, &entry_id);
+	Entry_ *e = g_hash_table_lookup(t->entries, &entry_id);
 
 	g_assert(e && e->running);
 	if (outcome->verdict == BH__VERDICT_NOT_RUN) {
-		g_hash_table_remove(o->entries, &entry_id);
+		g_hash_table_remove(t->entries, &entry_id);
 		return;
 	}
 	e->running = false;
 	e->outcome = *outcome;
 	e->outcome.answer = NULL;
-	if (outcome->answer && outcome->answer_len <= o->max_answer_bytes / 16) {
+	if (outcome->answer && outcome->answer_len <= t->max_answer_bytes / 16) {
 		e->answer = g_memdup2(outcome->answer, outcome->answer_len);
 		e->outcome.answer = e->answer;
-		o->answer_bytes += outcome->answer_len;
+		t->answer_bytes += outcome->answer_len;
 	}
 	else {
 		e->outcome.answer_len = 0;
 	}
-	g_queue_push_tail_link(&o->finished, &e->link);
-	while (o->answer_bytes > o->max_answer_bytes || g_hash_table_size(o->entries) > o->max_entries) {
-		if (!o->finished.length)
+	g_queue_push_tail_link(&t->finished, &e->link);
+	while (t->answer_bytes > t->max_answer_bytes || g_hash_table_size(t->entries) > t->max_entries) {
+		if (!t->finished.length)
 			break; /* all entries are running: the node's limit on live requests bounds them */
-		evict_oldest_(o);
+		evict_oldest_(t);
 	}
 }
 
 /* Removes the outcome that was recorded first and raises the low-water mark to its sequence. */
-static void evict_oldest_(BH__IdempotencyTable *o)
+static void evict_oldest_(BH__IdempotencyTable *t)
 {
-	Entry_ *e = o->finished.head->data;
+	Entry_ *e = t->finished.head->data;
 
-	o->low_watermark = MAX(o->low_watermark, e->sequence);
-	remove_(o, e);
+	t->low_watermark = MAX(t->low_watermark, e->sequence);
+	remove_(t, e);
 }
 
 /* Removes a finished entry and frees it. */
-static void remove_(BH__IdempotencyTable *o, Entry_ *e)
+static void remove_(BH__IdempotencyTable *t, Entry_ *e)
 {
-	g_queue_unlink(&o->finished, &e->link);
-	o->answer_bytes -= e->outcome.answer_len;
-	g_hash_table_remove(o->entries, &e->id);
+	g_queue_unlink(&t->finished, &e->link);
+	t->answer_bytes -= e->outcome.answer_len;
+	g_hash_table_remove(t->entries, &e->id);
 }
 
 /* Returns the highest sequence of an evicted entry, or 0 if none was evicted. */
-uint64_t bh__idempotency_get_low_watermark(const BH__IdempotencyTable *o)
+uint64_t bh__idempotency_get_low_watermark(const BH__IdempotencyTable *t)
 {
-	return o->low_watermark;
+	return t->low_watermark;
 }
 
 /* Returns the number of entries, running ones included. */
-uint32_t bh__idempotency_get_count(const BH__IdempotencyTable *o)
+uint32_t bh__idempotency_get_count(const BH__IdempotencyTable *t)
 {
-	return g_hash_table_size(o->entries);
+	return g_hash_table_size(t->entries);
 }
 
 /* Parses a stamp of the form "node-boot-sequence", all in hexadecimal. Returns false if `text` has another
- * form;
- * `*stamp` is then undefined. */
+ * form; `*stamp` is then undefined. */
 bool bh__stamp_parse(const char *text, BH__Stamp *stamp)
 {
 	int used = 0;
--- a/src/libbayhoist/include/private/ledger.h
+++ b/src/libbayhoist/include/private/ledger.h
@@ -10,8 +10,7 @@
 typedef struct {
 	BH__Grant grant;
 	uint64_t granted_us; /* when it was added to this ledger */
-	unsigned
-		prefilling; /* index of the member that prefills now; member_count: none, or prefill is not tracked */
+	unsigned prefilling; /* index of the prefilling member; member_count: none, or not tracked */
 } BH__LedgerEntry;
 
 typedef struct BH__Ledger BH__Ledger;
--- a/src/libbayhoist/include/private/node_internal.h
+++ b/src/libbayhoist/include/private/node_internal.h
@@ -1,8 +1,8 @@
 /* SPDX-License-Identifier: BSD-3-Clause */
-/* The state of a node and the functions that its modules share: node.c (messages, ticks), spread.c (exchange
- * of configuration and account rates with other nodes), admission.c, request.c and attempt.c (callers'
- * requests), crash_duty.c (quarantine of requests that crash endpoints), duty.c (pools that this node
- * schedules) and orders.c (orders to endpoints). */
+/* The state of a node and the functions that its modules share: node.c (messages, ticks), peer_sync.c
+ * (exchange of configuration and account rates with other nodes), admission.c, request.c and attempt.c
+ * (callers' requests), crash_duty.c (quarantine of requests that crash endpoints), duty.c (pools that this
+ * node schedules) and orders.c (orders to endpoints). */
 #ifndef BAYHOIST_PRIVATE_NODE_INTERNAL_H
 #define BAYHOIST_PRIVATE_NODE_INTERNAL_H
 
@@ -122,7 +122,7 @@
 const char *bh__node_get_endpoint_name(const BH__Node *n, uint64_t endpoint_id);
 bool bh__node_endpoint_is_leaving(const BH__Node *n, const BH__Resource *endpoint);
 
-/* spread.c */
+/* peer_sync.c */
 void bh__peer_sync_receive_revision(BH__Node *n, uint64_t node_id, uint64_t revision);
 void bh__peer_sync_process_config_ask(BH__Node *n, const BH__Message *m);
 void bh__peer_sync_process_config_data(BH__Node *n, const BH__Message *m);
--- a/src/libbayhoist/include/private/routes.h
+++ b/src/libbayhoist/include/private/routes.h
@@ -14,8 +14,7 @@
 	uint32_t endpoints; /* number of endpoints that are not leaving */
 	uint64_t scheduler; /* scheduling node, valid for members_version */
 	uint64_t members_version;
-	uint64_t
-		grants_notified_boot; /* boot id of the scheduler that was last notified of this node's live grants */
+	uint64_t grants_notified_boot;  /* boot id of the scheduler last notified of this node's live grants */
 	uint32_t grants_notified_count; /* number of grants in that notification */
 	BH__PoolDigest digest;
 	uint64_t digest_us;   /* when the digest was received; 0: never */
--- a/src/libbayhoist/memory_budget.c
+++ b/src/libbayhoist/memory_budget.c
@@ -13,31 +13,31 @@
 /* Returns how many bytes one answer may buffer for its caller, at most `max`. The budget for answers is
  * divided evenly among the node's `connections`, except that every answer gets at least ANSWER_MIN_ bytes.
  * Returns `max` if the size of the VM's memory is unknown. */
-size_t bh__memory_budget_get_answer_max(const BH__MemoryBudget *r, unsigned connections, size_t max)
+size_t bh__memory_budget_get_answer_max(const BH__MemoryBudget *b, unsigned connections, size_t max)
 {
-	double share = (double)r->memory_bytes * ANSWERS_SHARE_ / MAX(connections, 1u);
+	double share = (double)b->memory_bytes * ANSWERS_SHARE_ / MAX(connections, 1u);
 
-	if (!r->memory_bytes || share >= (double)max)
+	if (!b->memory_bytes || share >= (double)max)
 		return max;
 	return MAX((size_t)share, (size_t)ANSWER_MIN_);
 }
 
 /* Reserves `len` bytes for a request. Returns false and counts a refusal if that would exceed the budget for
  * requests; always succeeds if the size of the VM's memory is unknown. */
-bool bh__memory_budget_reserve_request(BH__MemoryBudget *r, size_t len)
+bool bh__memory_budget_reserve_request(BH__MemoryBudget *b, size_t len)
 {
-	double budget = (double)r->memory_bytes * REQUESTS_SHARE_;
+	double budget = (double)b->memory_bytes * REQUESTS_SHARE_;
 
-	if (r->memory_bytes && (double)(r->request_bytes + len) > budget) {
-		r->refusals++;
+	if (b->memory_bytes && (double)(b->request_bytes + len) > budget) {
+		b->refusals++;
 		return false;
 	}
-	r->request_bytes += len;
+	b->request_bytes += len;
 	return true;
 }
 
 /* Returns `len` reserved bytes to the budget. */
-void bh__memory_budget_release_request(BH__MemoryBudget *r, size_t len)
+void bh__memory_budget_release_request(BH__MemoryBudget *b, size_t len)
 {
-	r->request_bytes -= MIN(r->request_bytes, len);
+	b->request_bytes -= MIN(b->request_bytes, len);
 }
--- a/src/libbayhoist/node.c
+++ b/src/libbayhoist/node.c
@@ -451,16 +451,17 @@
 
 /* Processes an endpoint's load report if this node schedules the endpoint's pool. `loaded` is a
  * NULL-terminated list of the model versions and adapters that the endpoint has loaded. */
-void bh__node_process_report(BH__Node *n, const BH__LoadReport *r, const char *const *loaded, uint64_t now_us)
+void bh__node_process_report(BH__Node *n, const BH__LoadReport *report, const char *const *loaded,
+							 uint64_t now_us)
 {
 	const BH__Resource *e =
-		bh__catalog_find(bh__config_get_catalog(n->config), BH__KIND_ENDPOINT, r->endpoint_id);
+		bh__catalog_find(bh__config_get_catalog(n->config), BH__KIND_ENDPOINT, report->endpoint_id);
 	BH__Duty *d = e ? bh__duties_find(n, e->as.endpoint.pool_id) : NULL;
 
 	n->now_us = now_us;
 	if (d) {
-		bh__orders_process_report(n, r, loaded);
-		bh__pool_process_report(d->pool, r, now_us);
+		bh__orders_process_report(n, report, loaded);
+		bh__pool_process_report(d->pool, report, now_us);
 	}
 	bh__node_drain_inbox(n);
 }
--- a/src/libbayhoist/pool.c
+++ b/src/libbayhoist/pool.c
@@ -540,31 +540,32 @@
 /* Handles an engine's load report: updates its rates and memory, compares its attempts with the ledger, and
  * applies its cache events. If the engine was unreachable, it is only marked as such. A new incarnation
  * starts with an empty cache. */
-void bh__pool_process_report(BH__Pool *p, const BH__LoadReport *r, uint64_t now_us)
+void bh__pool_process_report(BH__Pool *p, const BH__LoadReport *report, uint64_t now_us)
 {
-	BH__Engine *e = bh__engines_find(p->engines, r->endpoint_id);
+	BH__Engine *e = bh__engines_find(p->engines, report->endpoint_id);
 
 	if (!e)
 		return;
-	e->reachable = r->reachable;
-	if (!r->reachable)
+	e->reachable = report->reachable;
+	if (!report->reachable)
 		return;
-	if (e->boot_id != r->boot_id) {
-		bh__prefix_index_remove_endpoint(p->prefixes, r->endpoint_id);
+	if (e->boot_id != report->boot_id) {
+		bh__prefix_index_remove_endpoint(p->prefixes, report->endpoint_id);
 		e->cache_next_sequence = 0;
 		e->kv_unaccounted_bytes = 0; /* held by the previous incarnation */
-		e->boot_id = r->boot_id;
+		e->boot_id = report->boot_id;
 	}
-	e->reported |= r->has_attempts; /* before the first list, the memory in use is unknown */
-	e->kv_capacity_bytes = r->kv_total_bytes;
-	e->kv_reported_bytes = r->kv_used_bytes;
-	if (r->prefill_tokens_per_s)
-		e->prefill_tokens_per_us = (e->prefill_tokens_per_us + (double)r->prefill_tokens_per_s / 1e6) / 2;
-	if (r->token_us)
-		e->token_us = (e->token_us + r->token_us) / 2;
-	if (r->has_attempts)
-		bh__ledger_process_report(p->ledger, e, r, now_us);
-	apply_cache_events_(p, e, r);
+	e->reported |= report->has_attempts; /* before the first list, the memory in use is unknown */
+	e->kv_capacity_bytes = report->kv_total_bytes;
+	e->kv_reported_bytes = report->kv_used_bytes;
+	if (report->prefill_tokens_per_s)
+		e->prefill_tokens_per_us =
+			(e->prefill_tokens_per_us + (double)report->prefill_tokens_per_s / 1e6) / 2;
+	if (report->token_us)
+		e->token_us = (e->token_us + report->token_us) / 2;
+	if (report->has_attempts)
+		bh__ledger_process_report(p->ledger, e, report, now_us);
+	apply_cache_events_(p, e, report);
 	schedule_all_(p, now_us);
 }
 
@@ -634,26 +635,26 @@
 
 /* Fills in the pool's digest, from which nodes choose among pools. The short wait includes the smallest sum
  * of backlog and stream delay among the usable engines. */
-void bh__pool_get_digest(BH__Pool *p, BH__PoolDigest *d, uint64_t now_us)
+void bh__pool_get_digest(BH__Pool *p, BH__PoolDigest *digest, uint64_t now_us)
 {
 	uint64_t min_delay_us = UINT64_MAX;
 
-	memset(d, 0, sizeof *d);
-	d->pool_id = p->pool_id;
-	d->sequence = now_us;
-	d->queued = bh__pool_get_queued(p);
+	memset(digest, 0, sizeof *digest);
+	digest->pool_id = p->pool_id;
+	digest->sequence = now_us;
+	digest->queued = bh__pool_get_queued(p);
 	for (unsigned i = 0; i < bh__engines_get_count(p->engines); i++) {
 		const BH__Engine *e = bh__engines_get(p->engines, i);
 		if (!bh__engine_is_usable(e))
 			continue;
-		d->endpoints++;
-		d->kv_total_bytes += e->kv_capacity_bytes;
-		d->kv_granted_bytes += e->kv_granted_bytes + e->kv_unaccounted_bytes;
+		digest->endpoints++;
+		digest->kv_total_bytes += e->kv_capacity_bytes;
+		digest->kv_granted_bytes += e->kv_granted_bytes + e->kv_unaccounted_bytes;
 		min_delay_us =
 			MIN(min_delay_us, bh__engine_get_backlog_us(e, 1, now_us) + e->streams * UINT64_C(500));
 	}
-	d->short_wait_us = get_wait_us_(p, BH__LANE_SHORT, now_us) + (d->endpoints ? min_delay_us : 0);
-	d->long_wait_us = get_wait_us_(p, BH__LANE_LONG, now_us);
+	digest->short_wait_us = get_wait_us_(p, BH__LANE_SHORT, now_us) + (digest->endpoints ? min_delay_us : 0);
+	digest->long_wait_us = get_wait_us_(p, BH__LANE_LONG, now_us);
 }
 
 /* Fills in the state of an endpoint for operators. Returns false if the endpoint is not in the pool. */
--- a/src/libbayhoist/read_schedule.c
+++ b/src/libbayhoist/read_schedule.c
@@ -21,17 +21,17 @@
 /* Returns true if a read is due at `now_us`, and then records it as sent. `answered_us` is the send time of
  * the latest read that was answered. With `steady`, reads are sent once per period without backoff, because
  * the store is known to answer other nodes or because other nodes depend on this one. */
-bool bh__read_schedule_process(BH__ReadSchedule *l, uint64_t period_us, uint64_t answered_us, bool steady,
+bool bh__read_schedule_process(BH__ReadSchedule *s, uint64_t period_us, uint64_t answered_us, bool steady,
 							   uint64_t now_us)
 {
-	bool failed = l->sent_us && answered_us < l->sent_us;
+	bool failed = s->sent_us && answered_us < s->sent_us;
 
 	if (!failed || steady)
-		l->backoff_us = period_us;
-	if (l->sent_us && now_us < l->sent_us + MAX(l->backoff_us, period_us))
+		s->backoff_us = period_us;
+	if (s->sent_us && now_us < s->sent_us + MAX(s->backoff_us, period_us))
 		return false;
 	if (failed)
-		l->backoff_us = MIN(l->backoff_us * 2, BH__READ_SCHEDULE_BACKOFF_MAX_US);
-	l->sent_us = now_us;
+		s->backoff_us = MIN(s->backoff_us * 2, BH__READ_SCHEDULE_BACKOFF_MAX_US);
+	s->sent_us = now_us;
 	return true;
 }
--- a/src/libbayhoist/registry.c
+++ b/src/libbayhoist/registry.c
@@ -434,11 +434,11 @@
 	g_hash_table_remove(r->departed, &oldest->endpoint_id);
 }
 
-/* Appends to `facts` (BH__EndpointRecord) and `departures` (BH__EndpointDeparture) all changes merged after a
- * version. Returns false if the changes since then are no longer complete; the receiver then needs the whole
- * table. */
-bool bh__registry_list_changes(const BH__Registry *r, BH__StoreVersion since, uint64_t now_us, GArray *facts,
-							   GArray *departures)
+/* Appends to `records` (BH__EndpointRecord) and `departures` (BH__EndpointDeparture) all changes merged after
+ * a version. Returns false if the changes since then are no longer complete; the receiver then needs the
+ * complete table. */
+bool bh__registry_list_changes(const BH__Registry *r, BH__StoreVersion since, uint64_t now_us,
+							   GArray *records, GArray *departures)
 {
 	GHashTableIter it;
 	gpointer value;
@@ -447,7 +447,7 @@
 		return false;
 	for (guint i = 0; i < r->table->len; i++)
 		if (bh__store_version_is_after(bh__registry_get(r, i)->merged_version, since))
-			bh__registry_add_record(r, i, now_us, facts);
+			bh__registry_add_record(r, i, now_us, records);
 	g_hash_table_iter_init(&it, r->departed);
 	while (g_hash_table_iter_next(&it, NULL, &value)) {
 		const BH__EndpointDeparture *d = value;
@@ -457,15 +457,15 @@
 	return true;
 }
 
-/* Appends the state of the endpoint at a table index to `facts`. */
-void bh__registry_add_record(const BH__Registry *r, unsigned index, uint64_t now_us, GArray *facts)
+/* Appends the state of the endpoint at a table index to `records`. */
+void bh__registry_add_record(const BH__Registry *r, unsigned index, uint64_t now_us, GArray *records)
 {
 	const BH__RegisteredEndpoint *e = bh__registry_get(r, index);
 	BH__EndpointRecord f = {.entry = e->entry, .history = e->history};
 
 	f.gone_in_us = e->gone_at_us > now_us ? e->gone_at_us - now_us : 0;
 	f.cold_in_us = e->entry.cold_until_us > now_us ? e->entry.cold_until_us - now_us : 0;
-	g_array_append_val(facts, f);
+	g_array_append_val(records, f);
 }
 
 /* Returns an endpoint in the table, or NULL. */
--- a/src/libbayhoist/signal_relay.c
+++ b/src/libbayhoist/signal_relay.c
@@ -29,7 +29,7 @@
 	BH__Members *members;
 	BH__Registry *registry;
 	GArray *pending; /* of PendingSignal_: signals that this node has yet to broadcast, the oldest first */
-	/* an endpoint has told this node that it leaves, so that each new home node must be notified */
+	/* an endpoint has announced to this node that it leaves, so that each new home node must be notified */
 	bool has_leaving_endpoint;
 	uint64_t checked_members_version; /* membership version at the last check for new home nodes */
 };
@@ -270,8 +270,8 @@
 	g_array_remove_range(r->pending, 0, done);
 }
 
-/* After a membership change, notifies the new home nodes of endpoints that have told this node that they
- * leave. */
+/* After a membership change, notifies the new home nodes of endpoints that have announced to this node that
+ * they leave. */
 static void notify_new_homes_(BH__SignalRelay *r, uint64_t now_us)
 {
 	if (!r->has_leaving_endpoint || r->checked_members_version == bh__members_get_version(r->members))
--- a/src/libbayhoist/store_version.c
+++ b/src/libbayhoist/store_version.c
@@ -29,14 +29,14 @@
 }
 
 /* Returns true for the zero version, which means that no state of the store is known. */
-bool bh__store_version_is_zero(BH__StoreVersion p)
+bool bh__store_version_is_zero(BH__StoreVersion v)
 {
-	return !p.era && !p.revision;
+	return !v.era && !v.revision;
 }
 
 /* Formats a version as "era.revision" for a log line. Returns `text`. */
-const char *bh__store_version_write(BH__StoreVersion p, char text[BH__STORE_VERSION_TEXT_LEN])
+const char *bh__store_version_write(BH__StoreVersion v, char text[BH__STORE_VERSION_TEXT_LEN])
 {
-	snprintf(text, BH__STORE_VERSION_TEXT_LEN, "%" PRIu64 ".%" PRIu64, p.era, p.revision);
+	snprintf(text, BH__STORE_VERSION_TEXT_LEN, "%" PRIu64 ".%" PRIu64, v.era, v.revision);
 	return text;
 }
